--- a/libraries/placement/candidate_set.cpp
+++ b/libraries/placement/candidate_set.cpp
@@ -24,9 +24,9 @@
         {
             result.pop_back();
         }
-        auto const place =
+        auto const position =
             std::ranges::upper_bound(result, one.rank, {}, rank_of);
-        result.insert(place, &one);
+        result.insert(position, &one);
     }
     return result;
 }
--- a/libraries/placement/placement.cpp
+++ b/libraries/placement/placement.cpp
@@ -14,25 +14,27 @@
 namespace
 {
 
-/// How often shares are computed anew.
+/// How often the shares of all upstreams are computed.
 constexpr duration refresh_period = std::chrono::milliseconds(100);
-/// Loads that are spread are at least this far apart.
-constexpr duration load_spread_period = std::chrono::seconds(3);
-/// Refused callers come back spread over this time, not all at once.
-constexpr duration retry_spread = std::chrono::seconds(1);
-/// What a caller is told while it is not known when things get better.
-constexpr duration unknown_retry = std::chrono::seconds(5);
-/// Bounds of the estimate of when a full upstream has room.
-constexpr duration minimum_full_retry = std::chrono::seconds(1);
-constexpr duration maximum_full_retry = std::chrono::seconds(30);
-/// A new interval counts for one eighth of the moving average.
-constexpr duration::rep interval_divisor = 8;
-/// Owners get 1/16 more than an even share of an upstream's connections: the
-/// flow hash does not spread flows over owners evenly, and an upstream would
-/// be called full while it has room.
+/// Minimum interval between two loads of one upstream that are sent to peers.
+/// Changed conditions are sent at once.
+constexpr duration minimum_load_interval = std::chrono::seconds(3);
+/// Retries of refused callers are spread over this time, so that they do not
+/// all arrive at once.
+constexpr duration retry_jitter = std::chrono::seconds(1);
+/// Retry delay while there is no estimate of when an upstream can take flows.
+constexpr duration unknown_retry_delay = std::chrono::seconds(5);
+/// Bounds of the estimate of when a full upstream can take the next flow.
+constexpr duration minimum_full_retry_delay = std::chrono::seconds(1);
+constexpr duration maximum_full_retry_delay = std::chrono::seconds(30);
+/// A new interval has a weight of one eighth in the moving average.
+constexpr duration::rep close_interval_divisor = 8;
+/// An owner's limit is 1/16 above an even share of an upstream's connections:
+/// the flow hash does not spread flows over owners evenly, and without the
+/// slack an owner would consider an upstream full that still has room.
 constexpr std::uint64_t share_slack_divisor = 16;
-/// Flows per slot that `prefer: continuity` always allows above the mean:
-/// with few flows the ratio to the mean says nothing.
+/// Flows per slot above the mean that `prefer: continuity` always allows: with
+/// few flows the ratio to the mean says nothing.
 constexpr double continuity_slack = 1.0;
 constexpr std::uint32_t whole_percent = 100;
 
@@ -83,7 +85,7 @@
     this->vm_count = std::max(count, std::uint32_t{1});
     this->is_domain_reachable = std::move(is_reachable);
     this->refresh_limits();
-    // The next event computes the shares anew.
+    // Forces the next event to compute the shares again.
     this->next_refresh_at = time_point{};
 }
 
@@ -97,17 +99,21 @@
         return this->refuse(now, nullptr, flow);
     }
     auto const& state = this->services[found->second];
-    auto const preferred = this->collect(now, state, flow, asked::healthy);
+    auto const preferred =
+        this->collect_candidates(now, state, flow, eligibility::healthy);
     if (this->candidates.empty())
     {
-        std::ignore = this->collect(now, state, flow, asked::reachable);
+        std::ignore =
+            this->collect_candidates(now, state, flow, eligibility::reachable);
     }
     if (this->candidates.empty())
     {
-        // That a domain's entry VMs are out of reach does not prove that its
-        // upstreams are: all its entry VMs may have failed at once. A service
-        // that lives only there would be refused although it could be served.
-        std::ignore = this->collect(now, state, flow, asked::any);
+        // A failure domain whose entry VMs are unreachable may still have
+        // reachable upstreams: all its entry VMs may have failed at once.
+        // Without this fallback, a service whose upstreams are all in that
+        // domain would be refused although it could be served.
+        std::ignore =
+            this->collect_candidates(now, state, flow, eligibility::any);
     }
     auto const is_full = [](candidate const& one)
     {
@@ -118,11 +124,11 @@
         return this->refuse(now, &state, flow);
     }
     std::erase_if(this->candidates, is_full);
-    auto const chosen = this->pick(service).id;
+    auto const chosen = this->pick_candidate(service).id;
     return placed{
         .upstream = chosen,
         .is_predicted = chosen == preferred &&
-                        state.history.do_older_sets_give(flow, chosen)};
+                        state.history.do_older_sets_choose(flow, chosen)};
 }
 
 std::optional<upstream_id>
@@ -157,7 +163,7 @@
     auto const interval = now - state->last_closed_at.value_or(now);
     state->last_closed_at = now;
     state->closing_interval +=
-        (interval - state->closing_interval) / interval_divisor;
+        (interval - state->closing_interval) / close_interval_divisor;
 }
 
 void placement::opening_confirmed(
@@ -187,7 +193,7 @@
     {
         return;
     }
-    state->health.note_unanswered();
+    state->health.record_unanswered();
     this->eject_if_failing(now, *state, effects);
 }
 
@@ -211,7 +217,7 @@
         {
             continue;
         }
-        if (!take_due_probe(
+        if (!consume_due_probe(
                 now, this->self.id, this->settings.probe_period, state) ||
             !is_prober(
                 this->self.id, state.id, domain_vms,
@@ -238,7 +244,7 @@
 void placement::receive(
     time_point now, upstream_probed const& event, effect_list& effects)
 {
-    this->take_report(now, event.report, effects);
+    this->apply_report(now, event.report, effects);
 }
 
 void placement::receive(
@@ -249,7 +255,7 @@
 {
     for (auto const& one : message.reports)
     {
-        this->take_report(now, one, effects);
+        this->apply_report(now, one, effects);
     }
 }
 
@@ -303,9 +309,10 @@
     }
     for (auto const& declared : next.upstreams())
     {
-        this->declare(now, declared, is_first);
+        this->apply_declaration(now, declared, is_first);
     }
-    // Flows of an upstream that was taken away live on and are still counted.
+    // Flows of a removed upstream continue, and the upstream may be declared
+    // again: its state is kept until its last flow closes.
     std::erase_if(
         this->states,
         [](upstream_state const& state)
@@ -320,7 +327,8 @@
     }
 }
 
-void placement::declare(time_point now, upstream const& declared, bool is_first)
+void placement::apply_declaration(
+    time_point now, upstream const& declared, bool is_first)
 {
     auto* state = this->find_state(declared.id);
     if (state == nullptr)
@@ -329,7 +337,7 @@
         state->id = declared.id;
         state->cold_until = is_first ? now : now + this->settings.slow_start;
     }
-    // One that was about to leave and comes back has lost its warmth.
+    // An upstream that returns from draining needs a slow start again.
     if (state->is_declared_draining && !declared.is_draining)
     {
         state->cold_until = now + this->settings.slow_start;
@@ -368,20 +376,20 @@
 {
     service_state result;
     result.id = declared.id;
-    auto const known = this->service_by_id.find(declared.id);
-    if (known != this->service_by_id.end())
+    auto const previous = this->service_by_id.find(declared.id);
+    if (previous != this->service_by_id.end())
     {
-        result.history = std::move(this->services[known->second].history);
+        result.history = std::move(this->services[previous->second].history);
     }
     std::vector<weighted_upstream> set;
     for (auto const id : declared.upstreams)
     {
-        auto const* const one = next.find_upstream(id);
-        if (one == nullptr || one->is_draining)
+        auto const* const member = next.find_upstream(id);
+        if (member == nullptr || member->is_draining)
         {
             continue;
         }
-        weighted_upstream const key(id, one->slots);
+        weighted_upstream const key(id, member->slots);
         set.push_back(key);
         result.members.push_back(
             {.state_index = this->state_by_id.at(id),
@@ -442,8 +450,8 @@
         .load_permille = state.reported.load_permille(now, lifetime),
         .report_freshness = state.reported.freshness(now, lifetime),
         .condition = state.reported.condition(now, lifetime),
-        .warm_share =
-            find_warm_share(now, state.cold_until, this->settings.slow_start)};
+        .slow_start_share = find_slow_start_share(
+            now, state.cold_until, this->settings.slow_start)};
 }
 
 void placement::refresh_limits()
@@ -452,7 +460,7 @@
     {
         std::uint64_t const count = this->vm_count;
         auto const even = (state.connections + count - 1) / count;
-        // A single owner knows the exact number and needs no slack.
+        // A single owner counts all flows itself and needs no slack.
         auto const slack = count == 1 ? 0 : even / share_slack_divisor;
         state.flow_limit = static_cast<std::uint32_t>(even + slack);
         if (state.connections == 0)
@@ -462,8 +470,11 @@
     }
 }
 
-std::optional<upstream_id> placement::collect(
-    time_point now, service_state const& service, flow_id flow, asked whom)
+std::optional<upstream_id> placement::collect_candidates(
+    time_point now,
+    service_state const& service,
+    flow_id flow,
+    eligibility required)
 {
     std::optional<upstream_id> preferred;
     auto lowest = std::numeric_limits<std::uint64_t>::max();
@@ -477,7 +488,7 @@
             lowest = rank;
         }
         auto const& state = this->states[member.state_index];
-        if (!this->may_take(now, state, whom))
+        if (!this->is_eligible(now, state, required))
         {
             continue;
         }
@@ -492,31 +503,31 @@
     return preferred;
 }
 
-bool placement::may_take(
-    time_point now, upstream_state const& state, asked whom) const
+bool placement::is_eligible(
+    time_point now, upstream_state const& state, eligibility required) const
 {
     if (state.is_draining())
     {
         return false;
     }
-    switch (whom)
+    switch (required)
     {
-    case asked::healthy:
+    case eligibility::healthy:
         return state.is_reachable && !state.health.is_ejected(now);
-    case asked::reachable:
+    case eligibility::reachable:
         return state.is_reachable;
-    case asked::any:
+    case eligibility::any:
         return true;
     }
     return true;
 }
 
-candidate const& placement::pick(service const& service) const
+candidate const& placement::pick_candidate(service const& service) const
 {
     switch (service.prefer)
     {
     case placement_preference::continuity:
-        return this->pick_predicted();
+        return this->pick_bounded();
     case placement_preference::balance:
         break;
     }
@@ -528,8 +539,9 @@
     auto const shortlist =
         first_choices(this->candidates, this->policy.balance_candidates);
     auto const& first = *shortlist.front();
-    // Of equal loads the flow's own preference wins. Owners that all saw the
-    // same upstream as the least loaded would otherwise all choose it at once.
+    // Prefer the flow's first choice while its load is close to the least.
+    // Owners that all see the same upstream as the least loaded would otherwise
+    // all choose it at the same time.
     auto const load_of = [](candidate const* one)
     {
         return one->load;
@@ -539,7 +551,7 @@
     return first.load <= tolerated ? first : least;
 }
 
-candidate const& placement::pick_predicted() const
+candidate const& placement::pick_bounded() const
 {
     double flows = 0.0;
     double slots = 0.0;
@@ -572,22 +584,24 @@
 not_placed placement::refuse(
     time_point now, service_state const* service, flow_id flow) const
 {
-    auto const spread = static_cast<duration::rep>(
-        flow.value() % static_cast<std::uint64_t>(retry_spread.count()));
-    auto const retry_at = service == nullptr ? now + unknown_retry
-                                             : this->find_retry(now, *service);
+    auto const jitter = static_cast<duration::rep>(
+        flow.value() % static_cast<std::uint64_t>(retry_jitter.count()));
+    auto const retry_at = service == nullptr
+                              ? now + unknown_retry_delay
+                              : this->find_retry_time(now, *service);
     auto const reason = this->candidates.empty()
                             ? refusal_reason::no_healthy_upstream
                             : refusal_reason::upstreams_full;
-    return {.reason = reason, .retry_at = retry_at + duration(spread)};
+    return {.reason = reason, .retry_at = retry_at + duration(jitter)};
 }
 
 time_point
-placement::find_retry(time_point now, service_state const& service) const
+placement::find_retry_time(time_point now, service_state const& service) const
 {
-    // The earliest of: an ejection ends, or a full upstream closes a flow.
-    auto result = now + unknown_retry;
-    bool is_known = false;
+    // Take the earliest time at which an ejection ends or a full upstream is
+    // expected to close a flow.
+    auto result = now + unknown_retry_delay;
+    bool has_estimate = false;
     for (auto const& member : service.members)
     {
         auto const& state = this->states[member.state_index];
@@ -597,12 +611,12 @@
         }
         auto const room_at = std::clamp(
             state.last_closed_at.value_or(now) + state.closing_interval,
-            now + minimum_full_retry, now + maximum_full_retry);
+            now + minimum_full_retry_delay, now + maximum_full_retry_delay);
         auto const possible_at = state.health.is_ejected(now)
                                      ? state.health.ejected_until()
                                      : room_at;
-        result = is_known ? std::min(result, possible_at) : possible_at;
-        is_known = true;
+        result = has_estimate ? std::min(result, possible_at) : possible_at;
+        has_estimate = true;
     }
     return result;
 }
@@ -630,9 +644,9 @@
 
 bool placement::may_eject(time_point now, upstream_state const& failing) const
 {
-    // A fault of this VM makes every upstream look dead to it. One would
-    // notice a service without upstreams on one VM only. The bound leaves
-    // some in service whatever this VM believes.
+    // A fault of this VM makes every upstream look failed to it. Symptom: a
+    // service has no upstreams on one VM only. The limit keeps some upstreams
+    // in service whatever this VM observes.
     for (auto const index : failing.services)
     {
         auto const& members = this->services[index].members;
@@ -652,7 +666,7 @@
     return true;
 }
 
-void placement::take_report(
+void placement::apply_report(
     time_point now, upstream_report const& incoming, effect_list& effects)
 {
     auto* const state = this->find_state(incoming.upstream);
@@ -666,13 +680,14 @@
         return;
     }
     auto const was_draining = state->reported.is_draining();
-    auto const news = state->reported.update(now, incoming, load_spread_period);
-    this->spreader.add(incoming.upstream, news);
+    auto const change =
+        state->reported.update(now, incoming, minimum_load_interval);
+    this->spreader.add(incoming.upstream, change);
     if (was_draining && !state->reported.is_draining())
     {
         state->cold_until = now + this->settings.slow_start;
     }
-    if (news != report_news::condition)
+    if (change != report_change::condition)
     {
         return;
     }
--- a/libraries/placement/placement.hpp
+++ b/libraries/placement/placement.hpp
@@ -20,15 +20,15 @@
 namespace cairnhead
 {
 
-/// An upstream was chosen.
+/// The upstream that was chosen for an opening.
 struct placed
 {
     upstream_id upstream;
-    /// Whether it is the upstream that `predict` gives.
+    /// Whether `predict` returns the same upstream for the flow.
     bool is_predicted = false;
 };
 
-/// No upstream may take the opening now.
+/// The opening is refused because no upstream can take it now.
 struct not_placed
 {
     refusal_reason reason = refusal_reason::no_healthy_upstream;
@@ -37,10 +37,13 @@
 
 using placement_result = std::variant<placed, not_placed>;
 
-/// Chooses upstreams for openings, and learns their health and load from
-/// what this VM sees itself (openings, confirmations, repeated openings) and
-/// from discounted reports.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// Chooses an upstream for each opening and tracks the health and load of all
+/// upstreams.
+/// Health and load come from what this VM observes itself (openings,
+/// confirmations, retransmitted openings) and from reports, which have only a
+/// bounded influence on the choice.
+/// No method has a precondition unless its comment states one. None is
+/// thread-safe: only the reducer's thread may call them.
 class placement
 {
 public:
@@ -51,71 +54,77 @@
         std::uint64_t random_seed,
         placement_policy const& policy = {});
 
-    /// New declarations are in force. Upstreams that were not there before
-    /// start cold, except at the first call. Precondition: not null. Keeps
-    /// the previous directory as the retained version for `predict`.
+    /// Puts new declarations into force and keeps the previous directory as a
+    /// retained version for `predict`. Upstreams that were not declared before
+    /// begin a slow start, except at the first call.
+    /// Precondition: `directory` is not null.
     void
     set_directory(time_point now, std::shared_ptr<directory const> directory);
 
-    /// How many VMs share the openings, and whether a domain is reachable.
-    /// The function is asked again about ten times a second.
+    /// Sets the number of VMs that the openings are divided among, and the
+    /// function that says whether a failure domain is reachable. Placement
+    /// calls the function about ten times a second.
     /// Precondition: the function is not empty.
     void set_fleet(
         std::uint32_t vm_count,
         std::function<bool(failure_domain_id)> is_domain_reachable);
 
-    /// Chooses an upstream for an opening; does not yet count it.
-    /// An upstream of an unreachable failure domain or an ejected one takes
-    /// nothing; when all reachable ones are ejected the observer is more
-    /// likely at fault than all of them, and they are all asked again.
-    /// `retry_at` is when an ejection ends, or an estimate of when the next
-    /// flow closes, spread a little over the callers.
-    /// Precondition: the service is of the current directory.
+    /// Chooses an upstream for an opening without counting the flow;
+    /// `flow_opened` counts it.
+    /// Ejected upstreams and upstreams of an unreachable failure domain are not
+    /// eligible. When all reachable upstreams are ejected, they all become
+    /// eligible again, since a fault of this VM is more likely than a fault of
+    /// all of them. When no upstream of a reachable domain is left, unreachable
+    /// ones are eligible too.
+    /// `retry_at` of a refusal is the end of an ejection or an estimate of when
+    /// the next flow closes, plus a small jitter per flow.
+    /// Precondition: `service` is in the current directory.
     [[nodiscard]] placement_result
     choose(time_point now, service const& service, flow_id flow);
 
-    /// The upstream that every retained version of the declarations gives for
-    /// this flow without any state, or nothing where they differ. Looks at no
-    /// health, since VMs differ in that. No precondition.
-    /// NOTE: a VM that joined lately retains fewer versions than the others
-    /// and predicts where they would not; ask holders of pins first.
+    /// Returns the upstream that every retained version of the declarations
+    /// yields for this flow without any per-flow state, or nothing where the
+    /// versions differ. Ignores health, since VMs differ in what they observe.
+    /// NOTE: A VM that joined recently retains fewer versions than the others
+    /// and predicts an upstream where they would not. Ask the holders of pins
+    /// first.
     [[nodiscard]] std::optional<upstream_id>
     predict(service const& service, flow_id flow) const;
 
-    /// A pin to the upstream was added or removed on this VM as its owner.
-    /// No precondition; unknown upstreams are ignored.
+    /// A pin to the upstream was added or removed on this VM, which owns the
+    /// flow. Unknown upstreams are ignored.
     void flow_opened(time_point now, upstream_id upstream);
     void flow_closed(time_point now, upstream_id upstream);
 
-    /// The caller confirmed the upstream's answer after `latency`.
-    /// No precondition; unknown upstreams are ignored.
+    /// The caller confirmed the upstream's answer after `latency`. Unknown
+    /// upstreams are ignored.
     void opening_confirmed(
         time_point now,
         upstream_id upstream,
         duration latency,
         effect_list& effects);
 
-    /// The caller repeated an opening: the upstream had not answered by then.
-    /// No precondition; unknown upstreams are ignored.
+    /// The caller retransmitted an opening because the upstream had not
+    /// answered by then. Unknown upstreams are ignored.
     void opening_repeated(
         time_point now, upstream_id upstream, effect_list& effects);
 
-    /// Whether the upstream takes no new work because it failed.
-    /// No precondition.
+    /// Whether the upstream is excluded from new flows because it failed.
     [[nodiscard]] bool is_ejected(time_point now, upstream_id upstream) const;
 
-    /// Starts due probes of upstreams in the own failure domain, shared among
-    /// its VMs (`domain_vms`, self included, sorted by id), and spreads fresh
-    /// reports to a few of `peers`. No precondition.
+    /// Starts the health probes that are due and sends changed reports to a few
+    /// of `peers`. Only upstreams of this VM's own failure domain are probed;
+    /// the domain's VMs divide the probes among themselves. `domain_vms` holds
+    /// these VMs, this one included, sorted by id.
     void tick(
         time_point now,
         std::span<vm_id const> domain_vms,
         std::span<vm_id const> peers,
         effect_list& effects);
 
-    /// Takes in this VM's own probe, or another VM's. Reports about unknown
-    /// upstreams and reports older than what is known are ignored.
-    /// No precondition.
+    /// Applies the result of this VM's own probe, or the reports of another VM.
+    /// Reports about unknown upstreams and reports older than the latest one
+    /// are ignored.
     void
     receive(time_point now, upstream_probed const& event, effect_list& effects);
     void receive(
@@ -124,7 +133,7 @@
         upstream_report_listing const& message,
         effect_list& effects);
 
-    /// For `cairnhead upstreams`.
+    /// The state of one upstream, as `cairnhead upstreams` shows it.
     struct upstream_view
     {
         upstream_id upstream;
@@ -134,17 +143,17 @@
         bool is_ejected = false;
         bool is_cold = false;
     };
-    /// All declared upstreams, sorted by id. No precondition.
+    /// Returns all declared upstreams, sorted by id.
     [[nodiscard]] std::vector<upstream_view> views(time_point now) const;
 
 private:
-    /// Which upstreams are asked.
-    enum class asked : std::uint8_t
+    /// Which upstreams may be chosen. None of the three includes draining ones.
+    enum class eligibility : std::uint8_t
     {
         healthy,
-        /// All that are reachable and do not leave, ejected or not.
+        /// All reachable ones, ejected or not.
         reachable,
-        /// All that do not leave.
+        /// All, reachable or not.
         any,
     };
 
@@ -153,7 +162,8 @@
 
     void rebuild_states(time_point now, directory const& next);
     void rebuild_services(directory const& next);
-    void declare(time_point now, upstream const& declared, bool is_first);
+    void
+    apply_declaration(time_point now, upstream const& declared, bool is_first);
     [[nodiscard]] service_state
     make_service_state(directory const& next, service const& declared);
 
@@ -164,24 +174,30 @@
     read_signals(time_point now, upstream_state const& state) const;
     void refresh_limits();
 
-    /// Fills `candidates`; returns the first choice among all members.
-    [[nodiscard]] std::optional<upstream_id> collect(
-        time_point now, service_state const& service, flow_id flow, asked whom);
-    [[nodiscard]] bool
-    may_take(time_point now, upstream_state const& state, asked whom) const;
-    [[nodiscard]] candidate const& pick(service const& service) const;
+    /// Fills `candidates` with the eligible members; returns the first choice
+    /// among all members.
+    [[nodiscard]] std::optional<upstream_id> collect_candidates(
+        time_point now,
+        service_state const& service,
+        flow_id flow,
+        eligibility required);
+    [[nodiscard]] bool is_eligible(
+        time_point now,
+        upstream_state const& state,
+        eligibility required) const;
+    [[nodiscard]] candidate const& pick_candidate(service const& service) const;
     [[nodiscard]] candidate const& pick_balanced() const;
-    [[nodiscard]] candidate const& pick_predicted() const;
+    [[nodiscard]] candidate const& pick_bounded() const;
     [[nodiscard]] not_placed
     refuse(time_point now, service_state const* service, flow_id flow) const;
     [[nodiscard]] time_point
-    find_retry(time_point now, service_state const& service) const;
+    find_retry_time(time_point now, service_state const& service) const;
 
     void eject_if_failing(
         time_point now, upstream_state& state, effect_list& effects);
     [[nodiscard]] bool
     may_eject(time_point now, upstream_state const& failing) const;
-    void take_report(
+    void apply_report(
         time_point now, upstream_report const& report, effect_list& effects);
 
     placement_settings settings;
@@ -196,8 +212,8 @@
     absl::flat_hash_map<upstream_id, std::size_t> state_by_id;
     std::vector<service_state> services;
     absl::flat_hash_map<service_id, std::size_t> service_by_id;
-    /// The candidates of the opening that is being placed; kept to save an
-    /// allocation for each.
+    /// The candidates of the opening that is being placed; reused to save an
+    /// allocation for each opening.
     std::vector<candidate> candidates;
 };
 
--- a/libraries/placement/prediction_history.cpp
+++ b/libraries/placement/prediction_history.cpp
@@ -9,14 +9,14 @@
 
 void prediction_history::add(std::vector<weighted_upstream> set)
 {
-    auto const known = std::ranges::find(this->sets, set);
-    if (known != this->sets.end())
+    auto const existing = std::ranges::find(this->sets, set);
+    if (existing != this->sets.end())
     {
-        std::rotate(this->sets.begin(), known, known + 1);
+        std::rotate(this->sets.begin(), existing, existing + 1);
         return;
     }
     this->sets.insert(this->sets.begin(), std::move(set));
-    if (this->sets.size() > retained_versions)
+    if (this->sets.size() > retained_sets)
     {
         this->sets.pop_back();
     }
@@ -29,14 +29,14 @@
         return std::nullopt;
     }
     auto const newest = first_choice(flow, this->sets.front());
-    if (!newest || !this->do_older_sets_give(flow, *newest))
+    if (!newest || !this->do_older_sets_choose(flow, *newest))
     {
         return std::nullopt;
     }
     return newest;
 }
 
-bool prediction_history::do_older_sets_give(
+bool prediction_history::do_older_sets_choose(
     flow_id flow, upstream_id upstream) const
 {
     if (this->sets.empty())
--- a/libraries/placement/prediction_history.hpp
+++ b/libraries/placement/prediction_history.hpp
@@ -8,28 +8,30 @@
 namespace cairnhead
 {
 
-/// How many different sets of upstreams are remembered for each service.
-inline constexpr std::size_t retained_versions = 3;
-
-/// The sets of upstreams that one service has had lately, newest first.
-/// A flow opened under an older set and still running must not be predicted
-/// at the upstream that only the newest set gives: its packets would be reset
-/// there. Therefore only what all sets give is a prediction.
-/// Thread safety of all methods: none.
+/// Number of different sets of upstreams that are retained for each service.
+inline constexpr std::size_t retained_sets = 3;
+
+/// Retains the recent sets of one service's upstreams, newest first, and
+/// predicts a flow's upstream where all of them agree.
+/// A flow that was opened under an older set and still runs must not be
+/// predicted at the upstream that only the newest set yields: its packets would
+/// be reset there.
+/// No method has a precondition; none is thread-safe.
 class prediction_history
 {
 public:
-    /// A set is in force. Does nothing when it equals the newest; an equal
-    /// older one moves to the front. No precondition.
+    /// Puts a set into force. Does nothing when it equals the newest; an equal
+    /// older one moves to the front.
     void add(std::vector<weighted_upstream> set);
 
-    /// What all retained sets give. No precondition.
+    /// Returns the upstream that all retained sets yield, or nothing where they
+    /// differ.
     [[nodiscard]] std::optional<upstream_id> predict(flow_id flow) const;
 
-    /// Whether all retained sets but the newest give this upstream; for those
-    /// who know already what the newest gives. No precondition.
+    /// Whether all retained sets but the newest yield this upstream. For
+    /// callers that already know what the newest yields.
     [[nodiscard]] bool
-    do_older_sets_give(flow_id flow, upstream_id upstream) const;
+    do_older_sets_choose(flow_id flow, upstream_id upstream) const;
 
 private:
     std::vector<std::vector<weighted_upstream>> sets;
--- a/libraries/placement/probe_schedule.cpp
+++ b/libraries/placement/probe_schedule.cpp
@@ -24,19 +24,20 @@
     std::uint32_t probers)
 {
     auto const own_rank = hash_pair(self.value(), upstream.value());
-    std::uint32_t preferred = 0;
+    std::uint32_t higher_ranked = 0;
     for (auto const vm : domain_vms)
     {
         if (vm == self)
         {
             continue;
         }
-        preferred += hash_pair(vm.value(), upstream.value()) < own_rank ? 1 : 0;
+        higher_ranked +=
+            hash_pair(vm.value(), upstream.value()) < own_rank ? 1 : 0;
     }
-    return preferred < probers;
+    return higher_ranked < probers;
 }
 
-bool take_due_probe(
+bool consume_due_probe(
     time_point now, vm_id self, duration period, upstream_state& state)
 {
     if (!state.next_probe_at)
@@ -48,7 +49,7 @@
         return false;
     }
     auto const next = *state.next_probe_at + period;
-    // After a pause missed probes are not made up for: one is enough.
+    // After a process pause, one probe replaces all that were missed.
     state.next_probe_at = next > now ? next : now + period;
     return true;
 }
--- a/libraries/placement/rendezvous.cpp
+++ b/libraries/placement/rendezvous.cpp
@@ -13,19 +13,19 @@
 namespace
 {
 
-/// Logarithms are fixed-point numbers with 32 bits after the point.
+/// Logarithms are fixed-point numbers with 32 fractional bits.
 constexpr unsigned fraction_bits = 32;
-/// The table splits each octave into 2^8 parts.
+/// The table divides each octave into 2^8 parts.
 constexpr unsigned index_bits = 8;
 constexpr std::size_t parts = std::size_t{1} << index_bits;
-/// Bits of the mantissa that place a value between two parts.
+/// Bits of the mantissa that give the offset within a part, for interpolation.
 constexpr unsigned interpolation_bits = 24;
-/// Scale of one divided by slots. With the 38 bits of the longest logarithm
-/// the product still fits 64 bits.
+/// Fixed-point scale of 1 / slots. A logarithm has at most 38 bits, so that the
+/// product still fits 64 bits.
 constexpr std::uint64_t weight_scale = std::uint64_t{1} << 24U;
 
-/// The binary logarithm of 1 + part / 256, one bit after the other by
-/// squaring; `parts` itself gives exactly one.
+/// Returns the binary logarithm of 1 + part / 256, computed bit by bit through
+/// squaring. For `parts` itself the result is exactly one.
 constexpr std::uint64_t logarithm_of_part(std::size_t part)
 {
     constexpr unsigned point = 31;
@@ -57,19 +57,20 @@
 
 constexpr auto logarithms = make_logarithms();
 
-/// 64 minus the binary logarithm of `value`: exponentially distributed when
-/// the value is uniform.
+/// Returns 64 minus the binary logarithm of `value`: exponentially distributed
+/// when the value is uniform.
 std::uint64_t negative_logarithm(std::uint64_t value)
 {
     auto const positive = std::max(value, std::uint64_t{1});
     auto const zeros = static_cast<unsigned>(std::countl_zero(positive));
-    // Without the leading one: the part, then the place between two parts.
+    // Drop the leading one; what follows is the part, then the offset within
+    // it.
     auto const mantissa = (positive << zeros) << 1U;
     auto const part = static_cast<std::size_t>(mantissa >> (64U - index_bits));
-    auto const between = (mantissa << index_bits) >> (64U - interpolation_bits);
+    auto const offset = (mantissa << index_bits) >> (64U - interpolation_bits);
     auto const low = logarithms[part];
     auto const step = logarithms[part + 1] - low;
-    auto const fraction = low + ((step * between) >> interpolation_bits);
+    auto const fraction = low + ((step * offset) >> interpolation_bits);
     auto const whole = std::uint64_t{zeros + 1} << fraction_bits;
     return whole - fraction;
 }
--- a/libraries/placement/report_spreader.cpp
+++ b/libraries/placement/report_spreader.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-/// How many other VMs hear of a piece of news from this one.
-constexpr std::size_t spread_fanout = 2;
-/// Reports in one listing. One goes to each of two peers each tick at most:
-/// with many upstreams loads get older before they arrive, but control traffic
-/// stays within its bound.
+/// Number of VMs that this VM forwards a change to.
+constexpr std::size_t gossip_fanout = 2;
+/// Maximum number of reports in one listing. Each tick sends at most one
+/// listing to each of two peers: with many upstreams loads are older when they
+/// arrive, but control traffic stays within its limit.
 constexpr std::size_t maximum_reports = 8;
 
 } // namespace
@@ -24,14 +24,14 @@
 {
 }
 
-void report_spreader::add(upstream_id upstream, report_news news)
+void report_spreader::add(upstream_id upstream, report_change change)
 {
-    if (news == report_news::none)
+    if (change == report_change::none)
     {
         return;
     }
-    auto& queue =
-        news == report_news::condition ? this->conditions : this->loads;
+    auto& queue = change == report_change::condition ? this->condition_queue
+                                                     : this->load_queue;
     if (std::ranges::find(queue, upstream) == queue.end())
     {
         queue.push_back(upstream);
@@ -43,18 +43,18 @@
     report_source const& source,
     effect_list& effects)
 {
-    if (this->conditions.empty() && this->loads.empty())
+    if (this->condition_queue.empty() && this->load_queue.empty())
     {
         return;
     }
-    auto const targets = this->pick(peers);
+    auto const targets = this->pick_targets(peers);
     if (targets.empty())
     {
         return;
     }
     std::vector<upstream_report> reports;
-    this->take(this->conditions, source, reports);
-    this->take(this->loads, source, reports);
+    this->dequeue_reports(this->condition_queue, source, reports);
+    this->dequeue_reports(this->load_queue, source, reports);
     if (reports.empty())
     {
         return;
@@ -66,7 +66,7 @@
     }
 }
 
-std::vector<vm_id> report_spreader::pick(std::span<vm_id const> peers)
+std::vector<vm_id> report_spreader::pick_targets(std::span<vm_id const> peers)
 {
     std::vector<vm_id> others;
     others.reserve(peers.size());
@@ -77,11 +77,11 @@
             others.push_back(peer);
         }
     }
-    auto const count = std::min(spread_fanout, others.size());
+    auto const count = std::min(gossip_fanout, others.size());
     for (std::size_t index = 0; index < count; ++index)
     {
-        this->picks += 1;
-        auto const random = hash_pair(this->random_seed, this->picks);
+        this->pick_count += 1;
+        auto const random = hash_pair(this->random_seed, this->pick_count);
         auto const other = index + random % (others.size() - index);
         std::swap(others[index], others[other]);
     }
@@ -89,7 +89,7 @@
     return others;
 }
 
-void report_spreader::take(
+void report_spreader::dequeue_reports(
     std::vector<upstream_id>& queue,
     report_source const& source,
     std::vector<upstream_report>& reports)
--- a/libraries/placement/reported_state.cpp
+++ b/libraries/placement/reported_state.cpp
@@ -20,14 +20,14 @@
 
 } // namespace
 
-report_news reported_state::update(
+report_change reported_state::update(
     time_point now, upstream_report const& report, duration load_period)
 {
     auto const observed =
         now - std::chrono::milliseconds(report.age_milliseconds);
     if (this->has_report && observed <= this->observed_at)
     {
-        return report_news::none;
+        return report_change::none;
     }
     auto const is_changed = this->last_condition != report.condition;
     this->has_report = true;
@@ -36,14 +36,15 @@
     this->last_load_permille = report.load_permille;
     if (report.condition != upstream_condition::failed)
     {
-        this->has_left = report.condition == upstream_condition::draining;
+        this->is_drain_reported =
+            report.condition == upstream_condition::draining;
     }
-    if (!is_changed && now < this->next_load_news_at)
+    if (!is_changed && now < this->next_load_change_at)
     {
-        return report_news::none;
+        return report_change::none;
     }
-    this->next_load_news_at = now + load_period;
-    return is_changed ? report_news::condition : report_news::load;
+    this->next_load_change_at = now + load_period;
+    return is_changed ? report_change::condition : report_change::load;
 }
 
 upstream_condition
@@ -58,7 +59,7 @@
 
 bool reported_state::is_draining() const
 {
-    return this->has_left;
+    return this->is_drain_reported;
 }
 
 std::optional<std::uint16_t>
--- a/libraries/placement/reported_state.hpp
+++ b/libraries/placement/reported_state.hpp
@@ -8,58 +8,62 @@
 namespace cairnhead
 {
 
-/// What is new in a report.
-enum class report_news : std::uint8_t
+/// What a report changes.
+enum class report_change : std::uint8_t
 {
-    /// Nothing: it is older than what is known, or says the same.
+    /// Nothing: the report is older than the latest one, or it has the same
+    /// condition and follows the previous change too soon.
     none,
-    /// A fresher load.
+    /// A newer load.
     load,
-    /// Another condition.
+    /// A different condition.
     condition,
 };
 
-/// The latest report about one upstream. Reports lag and may lie, so their
-/// influence is bounded by those who use it.
-/// Thread safety of all methods: none.
+/// Holds the latest report about one upstream. Reports are late and may be
+/// wrong, so their users bound the influence of a report.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class reported_state
 {
 public:
-    /// Takes a report in, and tells what is new. `load_period` is the least
-    /// time between two loads that count as news. No precondition.
-    report_news
+    /// Applies a report and returns what it changes. `load_period` is the
+    /// minimum time between two loads that count as a change.
+    report_change
     update(time_point now, upstream_report const& report, duration load_period);
 
-    /// The condition as last reported; healthy when that is too old.
-    /// No precondition.
+    /// Returns the last reported condition, or healthy when the report is older
+    /// than `lifetime`.
     [[nodiscard]] upstream_condition
     condition(time_point now, duration lifetime) const;
 
-    /// Whether it said that it leaves and has not said since that it is back.
-    /// It stays so when reports stop or probes fail, since a leaving upstream
-    /// goes silent in the end. No precondition.
+    /// Whether the upstream reported that it is draining and has not reported
+    /// another condition since. The end of the reports or a failed probe does
+    /// not change this, since a draining upstream stops answering in the end.
     [[nodiscard]] bool is_draining() const;
 
-    /// Load where 1000 is full, if a fresh one is known. No precondition.
+    /// Returns the load, where 1000 is full, if a report within `lifetime` has
+    /// one.
     [[nodiscard]] std::optional<std::uint16_t>
     load_permille(time_point now, duration lifetime) const;
 
-    /// How fresh the report is: 1 for a new one, 0 at the end of `lifetime`.
+    /// Returns the freshness of the report: 1 for a new one, 0 at the end of
+    /// `lifetime`.
     /// Precondition: `lifetime` is above zero.
     [[nodiscard]] double freshness(time_point now, duration lifetime) const;
 
-    /// The report as it travels on, or nothing when there is none.
-    /// No precondition.
+    /// Returns the report with its current age for forwarding, or nothing when
+    /// there is none.
     [[nodiscard]] std::optional<upstream_report>
     to_report(time_point now, upstream_id upstream) const;
 
 private:
     bool has_report = false;
-    bool has_left = false;
+    bool is_drain_reported = false;
     upstream_condition last_condition = upstream_condition::healthy;
     std::uint16_t last_load_permille = 0;
     time_point observed_at;
-    time_point next_load_news_at;
+    time_point next_load_change_at;
 };
 
 } // namespace cairnhead
--- a/libraries/placement/share_estimate.cpp
+++ b/libraries/placement/share_estimate.cpp
@@ -8,21 +8,23 @@
 namespace
 {
 
-/// Answers up to this many times the median are ordinary.
+/// A latency up to this many times the median is normal.
 constexpr double ordinary_latency_ratio = 2.0;
-/// Answers that are later by less than this are ordinary, whatever the ratio:
-/// the callers' own distance varies by as much.
+/// A latency that exceeds the median by no more than this is normal whatever
+/// the ratio: the distance of the callers themselves varies by as much.
 constexpr double ordinary_latency_seconds = 0.002;
-/// Reported load above the median by less than this is ordinary.
+/// Reported load that exceeds the median by no more than this is normal.
 constexpr double ordinary_load_permille = 150.0;
-/// Share lost for each permille of load beyond that.
+/// Reduction of the share for each permille of load beyond that.
 constexpr double share_per_permille = 0.0005;
-/// Share of an upstream that asks for less work.
+/// Share of an upstream that reports `shedding`: it asks for less work.
 constexpr double shedding_share = 0.5;
-/// Share of one whose probe failed while its openings are still answered.
+/// Share of an upstream whose probe failed while its openings are still
+/// answered.
 constexpr double failed_probe_share = 0.25;
-/// Where a slow start begins: enough to learn whether it answers.
-constexpr double minimum_warm_share = 0.05;
+/// Share at the beginning of a slow start: enough to learn whether the upstream
+/// answers.
+constexpr double minimum_slow_start_share = 0.05;
 
 std::optional<double> find_median(std::vector<double> values)
 {
@@ -77,8 +79,8 @@
     }
     auto const excess = *signals.load_permille - *medians.load_permille -
                         ordinary_load_permille;
-    // A report can cost an upstream work but never attract any: one that
-    // reports no load while it drowns would otherwise be given more.
+    // A report can reduce the share of an upstream but never raise it: an
+    // overloaded upstream that reports no load would otherwise get more work.
     if (excess <= 0.0 || is_contradicted(signals, medians, policy))
     {
         return 1.0;
@@ -129,13 +131,13 @@
     service_medians const& medians,
     placement_policy const& policy)
 {
-    return signals.warm_share * condition_share(signals.condition) *
+    return signals.slow_start_share * condition_share(signals.condition) *
            latency_share(signals, medians, policy) *
            report_share(signals, medians, policy);
 }
 
-double
-find_warm_share(time_point now, time_point cold_until, duration slow_start)
+double find_slow_start_share(
+    time_point now, time_point cold_until, duration slow_start)
 {
     if (now >= cold_until)
     {
@@ -143,7 +145,7 @@
     }
     std::chrono::duration<double> const left = cold_until - now;
     std::chrono::duration<double> const full = slow_start;
-    return std::clamp(1.0 - left / full, minimum_warm_share, 1.0);
+    return std::clamp(1.0 - left / full, minimum_slow_start_share, 1.0);
 }
 
 } // namespace cairnhead
--- a/libraries/placement/upstream_health.cpp
+++ b/libraries/placement/upstream_health.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// A new latency counts for one eighth of the moving average, as in TCP's
+/// A new latency has a weight of one eighth in the moving average, as in TCP's
 /// smoothed round-trip time.
 constexpr duration::rep latency_divisor = 8;
-/// More doublings than these cannot matter, and would overflow.
+/// More doublings make no difference and would overflow.
 constexpr std::uint32_t maximum_doublings = 20;
 
 } // namespace
@@ -22,7 +22,7 @@
     this->average_latency = previous + (latency - previous) / latency_divisor;
     this->failures = 0;
     this->ejection_end = std::min(this->ejection_end, now);
-    if (now > this->forgiven_at)
+    if (now > this->ejection_count_resets_at)
     {
         this->ejections = 0;
     }
@@ -31,7 +31,7 @@
     return is_restored;
 }
 
-void upstream_health::note_unanswered()
+void upstream_health::record_unanswered()
 {
     this->failures += 1;
 }
@@ -53,13 +53,15 @@
 upstream_health::eject(time_point now, placement_settings const& settings)
 {
     auto const doublings = std::min(this->ejections, maximum_doublings);
-    auto const wanted = settings.ejection_minimum * (1LL << doublings);
-    auto const length = std::min<duration>(wanted, settings.ejection_maximum);
+    auto const doubled_length = settings.ejection_minimum * (1LL << doublings);
+    auto const length =
+        std::min<duration>(doubled_length, settings.ejection_maximum);
     this->ejections += 1;
     this->is_reported_ejected = true;
     this->ejection_end = now + length;
-    this->forgiven_at = this->ejection_end + length;
-    // The first opening afterwards is a trial: one more failure ejects again.
+    this->ejection_count_resets_at = this->ejection_end + length;
+    // The first opening after the ejection is a trial: one more failure ejects
+    // again.
     this->failures = std::max(settings.failures_to_eject, 1U) - 1;
     return this->ejection_end;
 }
--- a/libraries/placement/upstream_health.hpp
+++ b/libraries/placement/upstream_health.hpp
@@ -8,39 +8,39 @@
 namespace cairnhead
 {
 
-/// What this VM saw of one upstream in the callers' packets: answered and
-/// unanswered openings, and how long the answers took.
-/// Thread safety of all methods: none.
+/// Tracks the health of one upstream as this VM observes it in the callers'
+/// packets: answered and unanswered openings, and the latency of the answers.
+/// No method has a precondition; none is thread-safe.
 class upstream_health
 {
 public:
     /// The caller confirmed an answer. Returns whether this ends an ejection
-    /// that was reported and not yet taken back. No precondition.
+    /// that was logged and not yet logged as ended.
     [[nodiscard]] bool confirm(time_point now, duration latency);
 
-    /// An opening was repeated without an answer in between. No precondition.
-    void note_unanswered();
+    /// An opening was retransmitted without an answer in between.
+    void record_unanswered();
 
-    /// Whether the failures in a row are enough to eject. A failed probe
-    /// counts as one failure and only beside unanswered openings: a health
-    /// endpoint alone may mislead. No precondition.
+    /// Whether the consecutive failures are enough to eject the upstream. A
+    /// failed probe counts as one failure, and only in addition to unanswered
+    /// openings: a health endpoint alone may mislead.
     [[nodiscard]] bool should_eject(
         time_point now,
         placement_settings const& settings,
         bool is_probe_failed) const;
 
-    /// Ejects until the returned time. The time doubles with each ejection
-    /// that follows soon after the one before. No precondition.
+    /// Ejects the upstream and returns when the ejection ends. Its length
+    /// doubles with each ejection that follows soon after the previous one.
     time_point eject(time_point now, placement_settings const& settings);
 
-    /// Whether it is ejected now. No precondition.
+    /// Whether the upstream is ejected now.
     [[nodiscard]] bool is_ejected(time_point now) const;
 
-    /// When the latest ejection ends or ended. No precondition.
+    /// Returns when the latest ejection ends or ended.
     [[nodiscard]] time_point ejected_until() const;
 
-    /// The moving average of the answers' latency, if any came.
-    /// No precondition.
+    /// Returns the moving average of the answers' latency, if there were any
+    /// answers.
     [[nodiscard]] std::optional<duration> latency() const;
 
 private:
@@ -48,8 +48,8 @@
     std::uint32_t ejections = 0;
     bool is_reported_ejected = false;
     time_point ejection_end;
-    /// A confirmation after this forgives earlier ejections.
-    time_point forgiven_at;
+    /// A confirmation after this time resets the count of ejections.
+    time_point ejection_count_resets_at;
     std::optional<duration> average_latency;
 };
 
--- a/libraries/placement/upstream_state.hpp
+++ b/libraries/placement/upstream_state.hpp
@@ -10,22 +10,22 @@
 namespace cairnhead
 {
 
-/// Everything that one VM knows of one upstream.
+/// The state of one upstream, as this VM sees it.
 struct upstream_state
 {
     upstream_id id;
     failure_domain_id domain;
     std::uint32_t slots = 1;
-    /// The whole fleet's bound; zero means none.
+    /// Limit of the flows of all VMs together; zero means no limit.
     std::uint32_t connections = 0;
     std::uint16_t health_port = 0;
     bool is_declared = false;
     bool is_declared_draining = false;
     bool is_reachable = true;
 
-    /// Flows that this VM owns there.
+    /// Flows to this upstream that this VM owns.
     std::uint32_t flows = 0;
-    /// This VM's share of the connections.
+    /// This VM's share of `connections`.
     std::uint32_t flow_limit = 0;
     std::optional<time_point> last_closed_at;
     /// Moving average of the time between two flows that close.
@@ -35,10 +35,11 @@
     upstream_health health;
     reported_state reported;
     std::optional<time_point> next_probe_at;
-    /// Places of the services that select it.
+    /// Indices of the services that select this upstream.
     std::vector<std::size_t> services;
 
-    /// Whether it may not be asked to take new work at all.
+    /// Whether the upstream is excluded from new flows, even as a last resort,
+    /// because it drains.
     [[nodiscard]] bool is_draining() const
     {
         return this->is_declared_draining || this->reported.is_draining();
--- a/tests/placement/fixture.hpp
+++ b/tests/placement/fixture.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-/// Small declarations and helpers for the placement tests.
+/// Declarations and helpers of the placement tests.
 namespace cairnhead::testing
 {
 
@@ -43,25 +43,25 @@
     std::vector<upstream> const& upstreams,
     placement_preference prefer = placement_preference::balance)
 {
-    service only;
-    only.id = service_id(7);
-    only.name = "sales/listings";
-    only.prefer = prefer;
+    service declared;
+    declared.id = service_id(7);
+    declared.name = "sales/listings";
+    declared.prefer = prefer;
     for (auto const& one : upstreams)
     {
-        only.upstreams.push_back(one.id);
+        declared.upstreams.push_back(one.id);
     }
-    return std::make_shared<directory const>(std::vector{only}, upstreams);
+    return std::make_shared<directory const>(std::vector{declared}, upstreams);
 }
 
-/// One VM's placement over one service.
-struct bench
+/// The placement of one VM with a single declared service.
+struct placement_fixture
 {
     placement subject;
     std::shared_ptr<directory const> current;
     effect_list effects;
 
-    explicit bench(
+    explicit placement_fixture(
         std::shared_ptr<directory const> initial,
         placement_policy const& policy = {})
         : subject(placement_settings{}, own, 1, policy)
@@ -90,25 +90,26 @@
         return flow_id(hash_pair(flow, 99));
     }
 
-    /// How many of `count` openings each upstream gets (by id), opened.
+    /// Opens `count` flows and returns how many each upstream got, indexed by
+    /// id.
     std::vector<std::uint32_t> open(time_point now, std::uint32_t count)
     {
         std::vector<std::uint32_t> result(64);
         for (std::uint32_t flow = 0; flow < count; ++flow)
         {
             auto const chosen = this->choose(now, flow);
-            auto const* const where = std::get_if<placed>(&chosen);
-            if (where == nullptr)
+            auto const* const selected = std::get_if<placed>(&chosen);
+            if (selected == nullptr)
             {
                 continue;
             }
-            result[where->upstream.value()] += 1;
-            this->subject.flow_opened(now, where->upstream);
+            result[selected->upstream.value()] += 1;
+            this->subject.flow_opened(now, selected->upstream);
         }
         return result;
     }
 
-    void repeat(time_point now, std::uint32_t upstream, std::uint32_t times)
+    void retransmit(time_point now, std::uint32_t upstream, std::uint32_t times)
     {
         for (std::uint32_t done = 0; done < times; ++done)
         {
@@ -123,7 +124,7 @@
             now, upstream_id(upstream), latency, this->effects);
     }
 
-    void tell(
+    void receive_report(
         time_point now,
         std::uint32_t upstream,
         upstream_condition condition,
--- a/tests/placement/test_choose.cpp
+++ b/tests/placement/test_choose.cpp
@@ -18,13 +18,13 @@
 
 } // namespace
 
-Test(choose, balance_keeps_own_counts_close)
+Test(choose, balance_gives_similar_flow_counts)
 {
     struct row
     {
         double lean;
-        std::uint32_t least;
-        std::uint32_t most;
+        std::uint32_t minimum;
+        std::uint32_t maximum;
     };
     row const rows[] = {
         {0.0, 95, 105}, {placement_policy{}.balance_lean, 92, 108}};
@@ -32,66 +32,67 @@
     {
         placement_policy policy;
         policy.balance_lean = each.lean;
-        bench one(make_directory(make_upstreams(14)), policy);
-        auto const counts = one.open(start, 1400);
+        placement_fixture fixture(make_directory(make_upstreams(14)), policy);
+        auto const counts = fixture.open(start, 1400);
         auto const [low, high] =
             std::minmax_element(counts.begin() + 1, counts.begin() + 15);
-        cr_expect_geq(*low, each.least);
-        cr_expect_leq(*high, each.most);
+        cr_expect_geq(*low, each.minimum);
+        cr_expect_leq(*high, each.maximum);
     }
 }
 
-Test(choose, continuity_follows_the_prediction)
+Test(choose, continuity_prefers_the_predicted_upstream)
 {
-    bench one(
+    placement_fixture fixture(
         make_directory(make_upstreams(14), placement_preference::continuity));
     std::uint32_t predicted = 0;
     for (std::uint64_t flow = 0; flow < 2000; ++flow)
     {
-        auto const result = std::get<placed>(one.choose(start, flow));
-        one.subject.flow_opened(start, result.upstream);
-        auto const expected =
-            one.subject.predict(one.only_service(), bench::make_flow(flow));
+        auto const result = std::get<placed>(fixture.choose(start, flow));
+        fixture.subject.flow_opened(start, result.upstream);
+        auto const expected = fixture.subject.predict(
+            fixture.only_service(), placement_fixture::make_flow(flow));
         cr_assert_eq(result.is_predicted, expected == result.upstream);
         predicted += result.is_predicted ? 1 : 0;
     }
     cr_assert_geq(predicted, 1900U);
 }
 
-Test(choose, unusable_upstreams_get_nothing)
+Test(choose, unusable_upstreams_get_no_flows)
 {
     struct row
     {
         char const* name;
-        void (*spoil)(bench&, std::vector<upstream>&);
+        void (*make_unusable)(placement_fixture&, std::vector<upstream>&);
     };
     row const rows[] = {
         {"declared draining",
-         [](bench& one, std::vector<upstream>& declared)
+         [](placement_fixture& fixture, std::vector<upstream>& declared)
          {
              declared[0].is_draining = true;
-             one.declare(start, make_directory(declared));
+             fixture.declare(start, make_directory(declared));
          }},
         {"reported draining",
-         [](bench& one, std::vector<upstream>&)
+         [](placement_fixture& fixture, std::vector<upstream>&)
          {
-             one.tell(start, 1, upstream_condition::draining);
+             fixture.receive_report(start, 1, upstream_condition::draining);
          }},
-        {"draining, then silent",
-         [](bench& one, std::vector<upstream>&)
+        {"draining, then probe failed",
+         [](placement_fixture& fixture, std::vector<upstream>&)
          {
-             one.tell(start - 1s, 1, upstream_condition::draining);
-             one.tell(start, 1, upstream_condition::failed);
+             fixture.receive_report(
+                 start - 1s, 1, upstream_condition::draining);
+             fixture.receive_report(start, 1, upstream_condition::failed);
          }},
         {"ejected",
-         [](bench& one, std::vector<upstream>&)
+         [](placement_fixture& fixture, std::vector<upstream>&)
          {
-             one.repeat(start, 1, 3);
+             fixture.retransmit(start, 1, 3);
          }},
         {"domain unreachable",
-         [](bench& one, std::vector<upstream>&)
+         [](placement_fixture& fixture, std::vector<upstream>&)
          {
-             one.subject.set_fleet(
+             fixture.subject.set_fleet(
                  2,
                  [](failure_domain_id domain)
                  {
@@ -102,65 +103,65 @@
     for (auto const& each : rows)
     {
         auto declared = make_upstreams(4);
-        bench one(make_directory(declared));
-        each.spoil(one, declared);
-        auto const counts = one.open(start, 400);
+        placement_fixture fixture(make_directory(declared));
+        each.make_unusable(fixture, declared);
+        auto const counts = fixture.open(start, 400);
         cr_expect_eq(counts[1], 0U, "%s", each.name);
         cr_expect_geq(counts[2], 90U, "%s", each.name);
     }
 }
 
-Test(choose, refuses_truthfully)
+Test(choose, refusals_state_reason_and_retry_time)
 {
     auto declared = make_upstreams(2);
     declared[0].connections = 10;
     declared[1].connections = 10;
-    bench one(make_directory(declared));
-    auto const counts = one.open(start, 30);
+    placement_fixture fixture(make_directory(declared));
+    auto const counts = fixture.open(start, 30);
     cr_assert_eq(counts[1] + counts[2], 20U);
-    auto const full = one.choose(start, 77);
+    auto const full = fixture.choose(start, 77);
     cr_assert_eq(reason_of(full), refusal_reason::upstreams_full);
     cr_assert_gt(std::get<not_placed>(full).retry_at, start);
 
-    one.tell(start, 1, upstream_condition::draining);
-    one.tell(start, 2, upstream_condition::draining);
-    auto const none = one.choose(start, 77);
-    cr_assert_eq(reason_of(none), refusal_reason::no_healthy_upstream);
-    cr_assert_gt(std::get<not_placed>(none).retry_at, start);
+    fixture.receive_report(start, 1, upstream_condition::draining);
+    fixture.receive_report(start, 2, upstream_condition::draining);
+    auto const unhealthy = fixture.choose(start, 77);
+    cr_assert_eq(reason_of(unhealthy), refusal_reason::no_healthy_upstream);
+    cr_assert_gt(std::get<not_placed>(unhealthy).retry_at, start);
 }
 
-Test(choose, owners_share_the_connections)
+Test(choose, owners_divide_the_connection_limit)
 {
     auto declared = make_upstreams(2);
     declared[0].connections = 160;
     declared[1].connections = 160;
-    bench one(make_directory(declared));
-    one.subject.set_fleet(
+    placement_fixture fixture(make_directory(declared));
+    fixture.subject.set_fleet(
         8,
         [](failure_domain_id)
         {
             return true;
         });
-    auto const counts = one.open(start, 100);
+    auto const counts = fixture.open(start, 100);
     cr_assert_eq(counts[1], 21U);
     cr_assert_eq(counts[2], 21U);
 }
 
-Test(choose, a_cold_upstream_starts_slowly)
+Test(choose, new_upstream_begins_slow_start)
 {
-    // Symptom: a new upstream fails under the load of all openings at once.
-    // Sequence: it joins while the others hold many flows each.
-    // Cause: with no flows of its own it always looks the least loaded.
+    // An upstream that joins while the others hold many flows must not fail
+    // under all openings at once: with no flows of its own it always looks the
+    // least loaded.
     auto declared = make_upstreams(4);
-    bench one(make_directory(declared));
-    one.open(start, 400);
+    placement_fixture fixture(make_directory(declared));
+    fixture.open(start, 400);
     declared.push_back(make_upstream(5));
-    one.declare(start + 1s, make_directory(declared));
-    cr_assert_leq(one.open(start + 2s, 100)[5], 15U);
-    cr_assert_geq(one.open(start + 40s, 200)[5], 80U);
+    fixture.declare(start + 1s, make_directory(declared));
+    cr_assert_leq(fixture.open(start + 2s, 100)[5], 15U);
+    cr_assert_geq(fixture.open(start + 40s, 200)[5], 80U);
 }
 
-Test(choose, bounded_influence_of_reports)
+Test(choose, reports_have_bounded_influence)
 {
     struct row
     {
@@ -168,48 +169,49 @@
         upstream_condition condition;
         std::uint16_t load;
         duration latency;
-        std::uint32_t least;
-        std::uint32_t most;
+        std::uint32_t minimum;
+        std::uint32_t maximum;
     };
-    // Each of four upstreams would get 100 openings.
+    // Without reports, each of the four upstreams would get 100 openings.
     row const rows[] = {
-        {"all busy, answers late", upstream_condition::healthy, 1000, 3ms, 75,
-         92},
-        {"all busy, answers in time", upstream_condition::healthy, 1000, 1ms,
-         95, 105},
-        {"idle, attracts nothing", upstream_condition::healthy, 0, 1ms, 95,
-         105},
-        {"sheds", upstream_condition::shedding, 0, 1ms, 45, 70},
+        {"reports full load, high latency", upstream_condition::healthy, 1000,
+         3ms, 75, 92},
+        {"reports full load, low latency", upstream_condition::healthy, 1000,
+         1ms, 95, 105},
+        {"reports no load", upstream_condition::healthy, 0, 1ms, 95, 105},
+        {"shedding", upstream_condition::shedding, 0, 1ms, 45, 70},
         {"probe failed", upstream_condition::failed, 0, 1ms, 20, 45},
-        {"answers very late", upstream_condition::healthy, 500, 50ms, 70, 86},
+        {"very high latency", upstream_condition::healthy, 500, 50ms, 70, 86},
     };
     for (auto const& each : rows)
     {
-        bench one(make_directory(make_upstreams(4)));
+        placement_fixture fixture(make_directory(make_upstreams(4)));
         for (std::uint32_t id = 1; id <= 4; ++id)
         {
-            one.confirm(start, id, id == 1 ? each.latency : 2ms);
-            one.tell(start, id, upstream_condition::healthy, 500, 100);
+            fixture.confirm(start, id, id == 1 ? each.latency : 2ms);
+            fixture.receive_report(
+                start, id, upstream_condition::healthy, 500, 100);
         }
-        one.tell(start, 1, each.condition, each.load);
-        auto const got = one.open(start + 200ms, 400)[1];
+        fixture.receive_report(start, 1, each.condition, each.load);
+        auto const opened = fixture.open(start + 200ms, 400)[1];
         cr_expect(
-            got >= each.least && got <= each.most, "%s: %u", each.name, got);
+            opened >= each.minimum && opened <= each.maximum, "%s: %u",
+            each.name, opened);
     }
 }
 
-Test(choose, load_survives_removal_of_the_upstream)
+Test(choose, flow_count_survives_removal_of_upstream)
 {
-    // Symptom: an upstream that was removed and declared again is overloaded.
-    // Sequence: label removed, label set again, while its flows live on.
-    // Cause: its flows were forgotten with the declaration.
+    // An upstream that is removed and declared again (its label is removed and
+    // set again) while its flows continue must not be overloaded. The fault:
+    // its flow count was discarded together with its declaration.
     auto const all = make_upstreams(3);
-    bench one(make_directory(all));
-    one.open(start, 300);
-    one.declare(start, make_directory({all[0], all[1]}));
-    one.subject.flow_closed(start, upstream_id(3));
-    one.declare(start + 1s, make_directory(all));
-    auto const views = one.subject.views(start + 1s);
+    placement_fixture fixture(make_directory(all));
+    fixture.open(start, 300);
+    fixture.declare(start, make_directory({all[0], all[1]}));
+    fixture.subject.flow_closed(start, upstream_id(3));
+    fixture.declare(start + 1s, make_directory(all));
+    auto const views = fixture.subject.views(start + 1s);
     cr_assert_eq(views.size(), 3U);
     cr_assert_geq(views[2].flows, 95U);
     cr_assert(!views[1].is_cold);
--- a/tests/placement/test_probing.cpp
+++ b/tests/placement/test_probing.cpp
@@ -11,7 +11,7 @@
 {
 
 template <typename Effect>
-std::vector<Effect> take(effect_list const& effects)
+std::vector<Effect> effects_of(effect_list const& effects)
 {
     std::vector<Effect> result;
     for (auto const& one : effects)
@@ -33,51 +33,52 @@
 
 } // namespace
 
-Test(probing, few_of_the_domain_probe_each_upstream)
+Test(probing, two_vms_of_the_domain_probe_each_upstream)
 {
     auto const declared = make_directory(make_upstreams(20));
     std::vector<std::uint32_t> probes(21);
-    std::set<time_point> moments;
+    std::set<time_point> probe_times;
     for (auto const vm : peers)
     {
-        placement one(placement_settings{}, {vm, failure_domain_id(1)}, 1);
-        one.set_directory(start, declared);
+        placement subject(placement_settings{}, {vm, failure_domain_id(1)}, 1);
+        subject.set_directory(start, declared);
         for (auto now = start; now <= start + 6s; now += 100ms)
         {
             effect_list effects;
-            one.tick(now, peers, {}, effects);
-            for (auto const& probe : take<probe_upstream>(effects))
+            subject.tick(now, peers, {}, effects);
+            for (auto const& probe : effects_of<probe_upstream>(effects))
             {
                 probes[probe.upstream.value()] += 1;
-                moments.insert(now);
+                probe_times.insert(now);
             }
         }
     }
     for (std::uint32_t id = 1; id <= 20; ++id)
     {
-        // Two probers, three periods; the even ones are of another domain.
+        // Two probers in three periods; upstreams with an even id are in
+        // another domain.
         cr_expect_eq(probes[id], id % 2 == 0 ? 0U : 6U, "%u", id);
     }
-    cr_assert_geq(moments.size(), 20U);
+    cr_assert_geq(probe_times.size(), 20U);
 }
 
-Test(probing, a_pause_is_not_made_up_for)
+Test(probing, missed_probes_are_not_repeated_after_a_pause)
 {
-    bench one(make_directory(make_upstreams(1)));
+    placement_fixture fixture(make_directory(make_upstreams(1)));
     std::vector<vm_id> const alone = {own.id};
-    one.subject.tick(start, alone, {}, one.effects);
-    one.subject.tick(start + 60s, alone, {}, one.effects);
-    one.subject.tick(start + 60s + 100ms, alone, {}, one.effects);
-    cr_assert_eq(take<probe_upstream>(one.effects).size(), 1U);
+    fixture.subject.tick(start, alone, {}, fixture.effects);
+    fixture.subject.tick(start + 60s, alone, {}, fixture.effects);
+    fixture.subject.tick(start + 60s + 100ms, alone, {}, fixture.effects);
+    cr_assert_eq(effects_of<probe_upstream>(fixture.effects).size(), 1U);
 }
 
-Test(spreading, news_goes_to_two_others_once_and_gets_older)
+Test(spreading, changed_report_goes_once_to_two_vms_with_its_age)
 {
-    bench one(make_directory(make_upstreams(4)));
-    one.tell(start, 1, upstream_condition::draining, 0, 500);
-    one.subject.tick(start + 200ms, {}, peers, one.effects);
-    one.subject.tick(start + 300ms, {}, peers, one.effects);
-    auto const sent = take<send_control>(one.effects);
+    placement_fixture fixture(make_directory(make_upstreams(4)));
+    fixture.receive_report(start, 1, upstream_condition::draining, 0, 500);
+    fixture.subject.tick(start + 200ms, {}, peers, fixture.effects);
+    fixture.subject.tick(start + 300ms, {}, peers, fixture.effects);
+    auto const sent = effects_of<send_control>(fixture.effects);
     cr_assert_eq(sent.size(), 2U);
     cr_assert_neq(sent[0].target, sent[1].target);
     for (auto const& each : sent)
@@ -89,16 +90,16 @@
     }
 }
 
-Test(spreading, what_is_news)
+Test(spreading, which_reports_are_forwarded)
 {
     struct row
     {
         char const* name;
-        duration later;
+        duration delay;
         std::uint32_t age;
         std::uint16_t load;
         upstream_condition condition;
-        bool is_news;
+        bool is_change;
     };
     using enum upstream_condition;
     row const rows[] = {
@@ -106,63 +107,63 @@
         {"another load soon", 500ms, 0, 900, healthy, false},
         {"another load later", 4s, 0, 900, healthy, true},
         {"another condition soon", 500ms, 0, 100, shedding, true},
-        {"older than known", 500ms, 800, 100, failed, false},
+        {"older than the latest", 500ms, 800, 100, failed, false},
         {"too old", 20s, 15'000, 100, failed, false},
     };
     for (auto const& each : rows)
     {
-        bench one(make_directory(make_upstreams(4)));
-        one.tell(start, 1, healthy, 100);
-        one.subject.tick(start, {}, peers, one.effects);
-        one.effects.clear();
-        auto const now = start + each.later;
-        one.tell(now, 1, each.condition, each.load, each.age);
-        one.subject.tick(now, {}, peers, one.effects);
-        auto const is_sent = !take<send_control>(one.effects).empty();
-        cr_expect_eq(is_sent, each.is_news, "%s", each.name);
+        placement_fixture fixture(make_directory(make_upstreams(4)));
+        fixture.receive_report(start, 1, healthy, 100);
+        fixture.subject.tick(start, {}, peers, fixture.effects);
+        fixture.effects.clear();
+        auto const now = start + each.delay;
+        fixture.receive_report(now, 1, each.condition, each.load, each.age);
+        fixture.subject.tick(now, {}, peers, fixture.effects);
+        auto const is_sent = !effects_of<send_control>(fixture.effects).empty();
+        cr_expect_eq(is_sent, each.is_change, "%s", each.name);
     }
 }
 
-Test(spreading, bytes_are_bounded_and_conditions_go_first)
+Test(spreading, listing_is_bounded_and_conditions_go_first)
 {
-    // Symptom: control traffic beyond its budget while many upstreams flap.
-    // Sequence: all of a large service change at once.
-    // Cause: every change is sent at the moment it is known.
-    bench one(make_directory(make_upstreams(60)));
+    // Control traffic must stay within its limit while many upstreams flap. The
+    // fault: when all upstreams of a large service change at once, a VM sends
+    // every change as soon as it learns of it.
+    placement_fixture fixture(make_directory(make_upstreams(60)));
     for (std::uint32_t id = 1; id <= 60; ++id)
     {
-        one.tell(
+        fixture.receive_report(
             start, id,
             id == 60 ? upstream_condition::draining
                      : upstream_condition::healthy);
     }
-    one.subject.tick(start, {}, peers, one.effects);
-    auto const sent = take<send_control>(one.effects);
+    fixture.subject.tick(start, {}, peers, fixture.effects);
+    auto const sent = effects_of<send_control>(fixture.effects);
     cr_assert_eq(listing_of(sent.front()).reports.size(), 8U);
     cr_assert_eq(listing_of(sent.front()).reports[0].upstream.value(), 60U);
 }
 
-Test(spreading, a_leaving_upstream_stays_out_until_it_says_otherwise)
+Test(spreading, draining_upstream_gets_no_flows_until_it_reports_healthy)
 {
-    // Symptom: an upstream that is shutting down gets new flows.
-    // Sequence: it reports draining, then its endpoint is gone.
-    // Cause: the last report runs out, or a failed probe replaces it.
-    bench one(make_directory(make_upstreams(2)));
-    one.tell(start, 1, upstream_condition::draining);
-    cr_assert_eq(one.open(start + 60s, 50)[1], 0U);
-    one.tell(start + 61s, 1, upstream_condition::failed);
-    cr_assert_eq(one.open(start + 61s, 50)[1], 0U);
-    one.tell(start + 62s, 1, upstream_condition::healthy);
-    cr_assert_gt(one.open(start + 120s, 50)[1], 0U);
+    // An upstream that is shutting down must get no new flows. It reports
+    // draining, then its health endpoint stops answering. The fault: its last
+    // report expires, or a failed probe replaces it.
+    placement_fixture fixture(make_directory(make_upstreams(2)));
+    fixture.receive_report(start, 1, upstream_condition::draining);
+    cr_assert_eq(fixture.open(start + 60s, 50)[1], 0U);
+    fixture.receive_report(start + 61s, 1, upstream_condition::failed);
+    cr_assert_eq(fixture.open(start + 61s, 50)[1], 0U);
+    fixture.receive_report(start + 62s, 1, upstream_condition::healthy);
+    cr_assert_gt(fixture.open(start + 120s, 50)[1], 0U);
 }
 
 Test(spreading, unknown_upstreams_are_ignored)
 {
-    bench one(make_directory(make_upstreams(1)));
-    one.tell(start, 40, upstream_condition::failed);
-    one.subject.flow_closed(start, upstream_id(40));
-    one.subject.flow_closed(start, upstream_id(1));
-    one.repeat(start, 40, 5);
-    cr_assert(one.effects.empty());
-    cr_assert_eq(one.subject.views(start).front().flows, 0U);
+    placement_fixture fixture(make_directory(make_upstreams(1)));
+    fixture.receive_report(start, 40, upstream_condition::failed);
+    fixture.subject.flow_closed(start, upstream_id(40));
+    fixture.subject.flow_closed(start, upstream_id(1));
+    fixture.retransmit(start, 40, 5);
+    cr_assert(fixture.effects.empty());
+    cr_assert_eq(fixture.subject.views(start).front().flows, 0U);
 }
