--- a/libraries/tagging/opening_returns.hpp
+++ b/libraries/tagging/opening_returns.hpp
@@ -6,58 +6,59 @@
 namespace cairnhead
 {
 
-/// Whether the fabric hands this VM the callers' answers to openings that it
-/// placed. Thread safety of all methods: none; one thread, the reducer's.
+/// Tracks whether the fabric delivers to this VM the callers' confirmations of
+/// openings that it placed.
 ///
-/// An opening without a confirmation is offered to a second upstream. Where the
-/// fabric chooses a VM for each packet, or moves flows because a VM came or
-/// went, the confirmation reached another VM, and the upstream answered. Its
-/// caller would get a second answer, whose tag leads the flow's packets to an
-/// upstream that does not hold it. One would notice flows that hang, or are
-/// reset, while nothing is wrong. So flows that appear here without an opening
-/// weigh against confirmations that came.
-class opening_returns
+/// An opening that is not confirmed is retried at a second upstream. Where the
+/// fabric chooses a VM for each packet, or moves flows because a VM joined or
+/// left, the confirmation reached another VM, although the upstream answered.
+/// The caller would get a second answer, whose tag leads the flow's packets to
+/// an upstream that does not hold the flow. Symptom: flows hang or are reset
+/// while nothing has failed. So unknown flows, whose opening did not pass this
+/// VM, are weighed against confirmations that arrived.
+/// No method has a precondition; none is thread-safe: only the reducer's thread
+/// calls them.
+class confirmation_tracker
 {
 public:
-    /// An opening that this VM placed was confirmed here. No precondition.
-    void note_confirmed()
+    /// Records that an opening that this VM placed was confirmed here.
+    void record_confirmation()
     {
-        this->balance = std::min(this->balance + 1, most);
+        this->balance = std::min(this->balance + 1, maximum_balance);
     }
 
-    /// A packet came of a flow that is open and was not known here. No
-    /// precondition.
-    void note_stranger()
+    /// Records a packet of an established flow that had no entry here.
+    void record_unknown_flow()
     {
-        this->balance = std::max(this->balance - weight_of_stranger, 0);
+        this->balance = std::max(this->balance - unknown_flow_weight, 0);
     }
 
-    /// Whether an opening that was not confirmed here can be called
-    /// unanswered. No precondition.
-    [[nodiscard]] bool are_expected() const
+    /// Whether confirmations reach this VM, so that an opening without one can
+    /// be considered unanswered.
+    [[nodiscard]] bool are_delivered_here() const
     {
-        return this->balance >= needed;
+        return this->balance >= required_balance;
     }
 
 private:
-    /// Where two VMs are chosen from for each packet, one flow of two is a
-    /// stranger to each of them.
-    static constexpr std::int32_t weight_of_stranger = 2;
-    /// Confirmations in a row, without a stranger, after which openings are
-    /// offered again: more than come by chance where VMs are chosen for each
+    /// Where the fabric chooses one of two VMs for each packet, every second
+    /// flow is an unknown flow to each of them.
+    static constexpr std::int32_t unknown_flow_weight = 2;
+    /// Confirmations in a row, without an unknown flow, after which openings
+    /// are retried: more than arrive by chance where a VM is chosen for each
     /// packet.
-    static constexpr std::int32_t needed = 16;
-    /// So many must come back first where a VM has just started: flows of
-    /// before are strangers to it, and it may see its own openings confirmed,
-    /// or offer some of them a second time in vain, before the first of those
-    /// shows.
+    static constexpr std::int32_t required_balance = 16;
+    /// Confirmations that a VM needs first when it has just started. Flows from
+    /// before its start are unknown to it; before the first packet of one of
+    /// them arrives, it may see its own openings confirmed, or retry some of
+    /// them to no effect.
     static constexpr std::int32_t first_confirmations = 4;
-    /// Strangers that a VM takes, twice their weight, before it offers nothing
-    /// again: late packets of flows that it forgot are fewer, and a VM that
-    /// went leaves more behind.
-    static constexpr std::int32_t most = 32;
+    /// Bounds the balance, so that more than 8 unknown flows in a row end the
+    /// retries. Late packets of flows whose entries were removed are fewer than
+    /// that; a VM that left causes more.
+    static constexpr std::int32_t maximum_balance = 32;
 
-    std::int32_t balance = needed - first_confirmations;
+    std::int32_t balance = required_balance - first_confirmations;
 };
 
 } // namespace cairnhead
--- a/libraries/tagging/pending_openings.hpp
+++ b/libraries/tagging/pending_openings.hpp
@@ -12,7 +12,7 @@
 namespace cairnhead
 {
 
-/// An opening that was sent and may have to be sent again.
+/// An opening that was sent to an upstream and may have to be retried.
 struct pending_opening
 {
     flow_id flow;
@@ -22,24 +22,26 @@
     time_point due_at;
 };
 
-/// Openings in the order in which they fall due. Whether one was confirmed in
-/// the meantime is looked up when it falls due: most are.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// Queues openings that were sent to an upstream, in the order of their retry
+/// deadlines. Whether an opening was confirmed is looked up only at its
+/// deadline, as most are by then.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe: only the reducer's thread calls them.
 class pending_openings
 {
 public:
-    /// Adds an opening. Precondition: it falls due no earlier than those added
-    /// before. When there are too many, it is not added.
+    /// Adds an opening, unless the queue is full.
+    /// Precondition: its deadline is no earlier than those added before.
     void add(pending_opening opening);
 
-    /// The next one that is due, taken out. No precondition.
+    /// Removes and returns the next opening whose deadline has passed, if any.
     [[nodiscard]] std::optional<pending_opening> take_due(time_point now);
 
-    /// When the next one falls due. No precondition.
+    /// The next deadline; nothing if the queue is empty.
     [[nodiscard]] std::optional<time_point> next_due() const;
 
 private:
-    std::deque<pending_opening> waiting;
+    std::deque<pending_opening> openings;
 };
 
 } // namespace cairnhead
--- a/libraries/tagging/tag_router.cpp
+++ b/libraries/tagging/tag_router.cpp
@@ -13,24 +13,27 @@
 
 using std::chrono_literals::operator""s;
 
-/// Expired flows and upstreams are looked for this often.
+/// Interval of the removal of expired flows and upstreams.
 constexpr duration cleaning_period = 1s;
 
-/// A flow that the caller closed still acknowledges for a while.
+/// After its FIN a caller still sends acknowledgements for a while.
 constexpr duration closing_lifetime = 2s;
 
-/// All routes of a registry count as one organisation's.
+/// All routes of a registry are attributed to one organisation.
 organisation_id const registry_organisation =
     make_organisation_id(registry_organisation_name);
 
-/// More than an answer between two packets of a flow. The number of another
-/// flow, which begins by chance, lies as near once in two thousand times.
-constexpr std::uint32_t longest_step = 1U << 20U;
+/// Largest distance between the acknowledgement numbers of two packets of one
+/// flow; larger than any answer between them. The number of an unrelated flow,
+/// which starts at random, is this close by chance once in two thousand times.
+constexpr std::uint32_t maximum_number_distance = 1U << 20U;
 
-/// Whether both numbers may belong to one flow; numbers wrap around.
-bool continues(std::uint32_t acknowledged, std::uint32_t before)
+/// Whether both acknowledgement numbers may belong to one flow. TCP's numbers
+/// wrap around.
+bool may_be_same_flow(std::uint32_t acknowledged, std::uint32_t earlier)
 {
-    return acknowledged - before + longest_step < 2 * longest_step;
+    return acknowledged - earlier + maximum_number_distance <
+           2 * maximum_number_distance;
 }
 
 endpoint address_of(published_route const& route)
@@ -45,82 +48,89 @@
     failure_domain_id own_domain,
     std::uint64_t seed)
     : settings(chosen), domains(chosen, own_domain),
-      known(chosen, this->domains, own_domain, seed),
+      upstream_table(chosen, this->domains, own_domain, seed),
       flows(chosen.maximum_flows)
 {
 }
 
 void tag_router::set_listings(
-    time_point now, registry_contents told, registry_versions versions)
+    time_point now, registry_contents contents, registry_versions versions)
 {
     bool const was_informed = this->is_informed();
-    // Routes come first, as they tell how long upstreams are cold; evacuations
-    // last, as they are about upstreams.
-    if (told.routes != nullptr && told.routes != this->routes)
+    // Routes come first, as they hold the lengths of slow starts; evacuations
+    // come last, as they refer to upstreams.
+    if (contents.routes != nullptr && contents.routes != this->routes)
     {
         this->in_force.routes = versions.routes;
-        this->take(now, std::move(told.routes));
+        this->apply_listing(now, std::move(contents.routes));
     }
-    if (told.upstreams != nullptr && told.upstreams != this->listed)
+    if (contents.upstreams != nullptr &&
+        contents.upstreams != this->listed_upstreams)
     {
         this->in_force.upstreams = versions.upstreams;
-        this->take(now, std::move(told.upstreams));
+        this->apply_listing(now, std::move(contents.upstreams));
     }
-    if (told.evacuations != nullptr && told.evacuations != this->evacuations)
+    if (contents.evacuations != nullptr &&
+        contents.evacuations != this->evacuations)
     {
         this->in_force.evacuations = versions.evacuations;
-        this->take(now, std::move(told.evacuations));
+        this->apply_listing(now, std::move(contents.evacuations));
     }
-    // Callers' packets wait until there is a registry. Copies of those that
-    // waited for long may have been placed by another VM.
+    // Callers' packets are queued until the registry is complete. Another VM
+    // may have placed the retransmissions of openings that were queued for
+    // long.
     if (this->is_informed() && !was_informed)
-        this->pauses.note_standstill(now);
+        this->pauses.record_pause_end(now);
 }
 
-void tag_router::take(time_point now, std::shared_ptr<route_listing const> told)
+void tag_router::apply_listing(
+    time_point now, std::shared_ptr<route_listing const> listing)
 {
-    this->routes = std::move(told);
+    this->routes = std::move(listing);
     this->in_force.routes_since = now;
     this->route_by_address.clear();
     for (published_route const& route : this->routes->routes)
         this->route_by_address[address_of(route)] = &route;
-    this->known.set_warmups(this->routes->warmups);
+    this->upstream_table.set_warmups(this->routes->warmups);
 }
 
-void tag_router::take(
-    time_point now, std::shared_ptr<upstream_listing const> told)
+void tag_router::apply_listing(
+    time_point now, std::shared_ptr<upstream_listing const> listing)
 {
     this->in_force.upstreams_since = now;
-    auto const before = std::exchange(this->listed, std::move(told));
-    auto const outcome = this->known.update(
-        now, before == nullptr ? upstream_listing() : *before, *this->listed);
+    auto const previous =
+        std::exchange(this->listed_upstreams, std::move(listing));
+    auto const outcome = this->upstream_table.update(
+        now, previous == nullptr ? upstream_listing() : *previous,
+        *this->listed_upstreams);
     for (upstream_tag const tag : outcome.restarted)
-        this->forget_flows_of(tag);
-    this->succeeded.insert(
-        this->succeeded.end(), outcome.succeeded.begin(),
+        this->remove_flows_of(tag);
+    this->replaced_upstreams.insert(
+        this->replaced_upstreams.end(), outcome.succeeded.begin(),
         outcome.succeeded.end());
 }
 
-void tag_router::take(
-    time_point now, std::shared_ptr<evacuation_listing const> told)
+void tag_router::apply_listing(
+    time_point now, std::shared_ptr<evacuation_listing const> listing)
 {
     this->in_force.evacuations_since = now;
-    this->evacuations = std::move(told);
-    this->known.set_evacuated(now, this->evacuations->domains);
+    this->evacuations = std::move(listing);
+    this->upstream_table.set_evacuated(now, this->evacuations->domains);
 }
 
 void tag_router::set_domain_vms(vm_id self, std::span<vm_id const> vms)
 {
-    this->known.set_domain_vms(self, vms);
+    this->upstream_table.set_domain_vms(self, vms);
 }
 
 void tag_router::route(
     time_point now, packet_arrived const& packet, effect_list& effects)
 {
-    this->pauses.note(now);
-    // With routes alone each opening would be refused for want of upstreams,
-    // though other VMs could place it: seen as resets by VMs that start where
-    // all were down. The caller's copy comes to one that knows more.
+    this->pauses.record_event(now);
+    // A VM that has only the routes would refuse every opening for lack of
+    // upstreams, though other VMs could place it: when VMs started after all
+    // had been down, callers saw this as resets. The caller's retransmission
+    // reaches a VM that has the whole registry.
     if (!this->is_informed())
         return this->drop(
             packet, drop_reason::not_ready, flow_rule::registry_incomplete,
@@ -131,23 +141,23 @@
         this->route_opening(now, packet, effects);
     else
         this->route_by_tag(now, packet, effects);
-    this->check_silent(now, effects);
+    this->start_due_checks(now, effects);
 }
 
 void tag_router::advance(time_point now, effect_list& effects)
 {
-    this->pauses.note(now);
-    this->end_succeeded(now, effects);
+    this->pauses.record_event(now);
+    this->reset_flows_of_replaced(now, effects);
     while (auto due = this->unconfirmed.take_due(now))
-        this->retry(now, std::move(*due), effects);
+        this->retry_opening(now, std::move(*due), effects);
     this->domains.advance(now);
-    this->report_verdicts(effects);
-    this->check_silent(now, effects);
+    this->report_reachability_changes(effects);
+    this->start_due_checks(now, effects);
 }
 
 std::optional<time_point> tag_router::next_due() const
 {
-    if (!this->succeeded.empty())
+    if (!this->replaced_upstreams.empty())
         return this->in_force.upstreams_since;
     auto const retry_at = this->unconfirmed.next_due();
     auto const verdict_at = this->domains.next_due();
@@ -160,53 +170,57 @@
     time_point now, packet_arrived const& packet, effect_list& effects)
 {
     tagged_upstream* const upstream =
-        this->known.find(this->tag_in_force(packet));
+        this->upstream_table.find(this->effective_tag(packet));
     if (upstream == nullptr)
     {
-        // A reset could end a flow that another VM knows; the caller repeats
-        // its packet, and by then this VM may have learned the upstream.
+        // A reset could end a live flow whose upstream only other VMs know.
+        // The caller retransmits its packet, and by then this VM may know the
+        // upstream too.
         return this->drop(
             packet, drop_reason::unknown_flow, flow_rule::unknown_tag, effects);
     }
-    if (this->known.is_succeeded(*upstream))
-        return this->end_flow_of_packet(packet, *upstream, effects);
-    this->follow(now, packet, *upstream, effects);
-    this->note_use(now, packet, *upstream);
+    if (this->upstream_table.is_succeeded(*upstream))
+        return this->reset_flow_of_packet(packet, *upstream, effects);
+    this->update_flow(now, packet, *upstream, effects);
+    this->hasten_check(now, packet, *upstream);
     send(packet, *upstream, effects);
 }
 
-upstream_tag tag_router::tag_in_force(packet_arrived const& packet) const
+upstream_tag tag_router::effective_tag(packet_arrived const& packet) const
 {
     tagged_flow const* const flow = this->flows.find(packet.flow);
     // Several upstreams may have got this flow's opening, from this VM or from
-    // one that placed it. The caller answered one of them; a late answer of
-    // another changed the tag since, and that one would reset a flow which it
-    // does not hold. The caller's numbers tell that the flow is the same.
+    // the VM that placed it. The caller confirmed the answer of one of them. A
+    // late answer of another upstream can change the tag afterwards, and that
+    // upstream would reset a flow that it does not hold. The caller's
+    // acknowledgement numbers show that the flow is the same.
     bool const is_settled =
         flow != nullptr && flow->state != tagged_flow_state::opening;
     bool const is_same_flow =
         is_settled && flow->progress &&
-        continues(packet.progress.acknowledged, flow->progress->acknowledged);
-    if (is_same_flow && this->known.find(flow->upstream) != nullptr)
+        may_be_same_flow(
+            packet.progress.acknowledged, flow->progress->acknowledged);
+    if (is_same_flow && this->upstream_table.find(flow->upstream) != nullptr)
         return flow->upstream;
     return *packet.tag;
 }
 
-void tag_router::follow(
+void tag_router::update_flow(
     time_point now,
     packet_arrived const& packet,
     tagged_upstream& upstream,
     effect_list& effects)
 {
     if (packet.phase == packet_phase::reset)
-        return this->forget(packet.flow);
-    tagged_flow* const flow = this->enter(now, packet, upstream.tag, effects);
+        return this->remove_flow(packet.flow);
+    tagged_flow* const flow =
+        this->find_or_add_flow(now, packet, upstream.tag, effects);
     if (flow == nullptr)
         return;
     if (flow->state == tagged_flow_state::opening)
-        this->confirm(now, packet.flow, *flow, upstream, effects);
-    this->note_progress(now, packet, *flow, upstream, effects);
-    flow->seen_at = now;
+        this->confirm_opening(now, packet.flow, *flow, upstream, effects);
+    this->record_progress(now, packet, *flow, upstream, effects);
+    flow->last_packet_at = now;
     if (packet.phase == packet_phase::closing)
         flow->state = tagged_flow_state::closing;
     flow->expires_at = flow->state == tagged_flow_state::closing
@@ -214,7 +228,7 @@
                            : now + this->idle_timeout();
 }
 
-void tag_router::confirm(
+void tag_router::confirm_opening(
     time_point now,
     flow_id id,
     tagged_flow& flow,
@@ -222,16 +236,16 @@
     effect_list& effects)
 {
     flow.state = tagged_flow_state::established;
-    this->note_answered(now, upstream);
+    this->record_answer(now, upstream);
     auto const route = this->route_by_address.find(flow.destination);
     bool const was_opened_here = flow.opened_at != time_point::min();
-    flow_decision confirmed = this->decide(
+    flow_decision confirmed = this->make_decision(
         flow_step::confirmed, flow_rule::named_by_tag, id,
         {flow.caller, flow.destination}, &upstream);
     if (was_opened_here)
     {
         confirmed.waited = now - flow.opened_at;
-        this->returns.note_confirmed();
+        this->confirmations.record_confirmation();
     }
     effects.emplace_back(confirmed);
     if (route == this->route_by_address.end() || !was_opened_here)
@@ -240,7 +254,7 @@
         registry_organisation, route->second->traffic, now - flow.opened_at});
 }
 
-tagged_flow* tag_router::enter(
+tagged_flow* tag_router::find_or_add_flow(
     time_point now,
     packet_arrived const& packet,
     upstream_tag tag,
@@ -249,18 +263,19 @@
     tagged_flow* const flow = this->flows.find(packet.flow);
     if (flow != nullptr && flow->upstream == tag)
         return flow;
-    // Opened through another VM, or the caller answered another of the
-    // upstreams that were asked.
+    // Another VM placed the flow's opening, or the caller confirmed another of
+    // the upstreams that got it.
     bool const was_opening =
         flow != nullptr && flow->state == tagged_flow_state::opening;
     if (flow == nullptr)
-        this->returns.note_stranger();
+        this->confirmations.record_unknown_flow();
     if (!was_opening)
-        effects.emplace_back(this->decide(
+        effects.emplace_back(this->make_decision(
             flow_step::taken_over, flow_rule::named_by_tag, packet.flow,
-            {packet.source, packet.destination}, this->known.find(tag)));
-    this->forget(packet.flow);
-    this->remember(
+            {packet.source, packet.destination},
+            this->upstream_table.find(tag)));
+    this->remove_flow(packet.flow);
+    this->add_flow(
         packet.flow, {.caller = packet.source,
                       .destination = packet.destination,
                       .upstream = tag,
@@ -269,18 +284,18 @@
                       .opened_at = time_point::min(),
                       .expires_at = now + this->idle_timeout(),
                       .progress = {},
-                      .seen_at = now});
+                      .last_packet_at = now});
     return this->flows.find(packet.flow);
 }
 
-void tag_router::forget_flows_of(upstream_tag restarted)
+void tag_router::remove_flows_of(upstream_tag restarted)
 {
-    // They are not reset from here: some may have been opened at the new start
-    // before this VM learned of it, and those live. The upstream itself resets
-    // what it does not hold, at the caller's next packet, and a caller that
-    // lives on enters the table again with it.
+    // These flows are not reset here: some may have been opened at the
+    // restarted upstream before this VM learned of its restart, and those are
+    // alive. At the caller's next packet the upstream itself resets a flow
+    // that it does not hold; a live flow gets a new entry with that packet.
     for (tagged_flow const& flow : this->flows.take_established(restarted))
-        this->uncount(flow);
+        this->decrement_flow_count(flow);
 }
 
 duration tag_router::idle_timeout() const
@@ -289,34 +304,34 @@
                                    : this->routes->idle_timeout;
 }
 
-void tag_router::remember(flow_id flow, tagged_flow const& added)
+void tag_router::add_flow(flow_id flow, tagged_flow const& added)
 {
     if (this->flows.insert(flow, added) == nullptr)
         return;
-    tagged_upstream* const upstream = this->known.find(added.upstream);
+    tagged_upstream* const upstream = this->upstream_table.find(added.upstream);
     if (upstream != nullptr)
         ++upstream->flows;
 }
 
-void tag_router::forget(flow_id flow)
+void tag_router::remove_flow(flow_id flow)
 {
-    tagged_flow const* const held = this->flows.find(flow);
-    if (held == nullptr)
+    tagged_flow const* const entry = this->flows.find(flow);
+    if (entry == nullptr)
         return;
-    this->uncount(*held);
+    this->decrement_flow_count(*entry);
     this->flows.remove(flow);
 }
 
-void tag_router::uncount(tagged_flow const& flow)
+void tag_router::decrement_flow_count(tagged_flow const& flow)
 {
-    tagged_upstream* const upstream = this->known.find(flow.upstream);
+    tagged_upstream* const upstream = this->upstream_table.find(flow.upstream);
     if (upstream != nullptr && upstream->flows > 0)
         --upstream->flows;
 }
 
 void tag_router::tick(time_point now, effect_list& effects)
 {
-    this->pauses.note(now);
+    this->pauses.record_event(now);
     if (now < this->next_cleaning_at)
         return;
     this->next_cleaning_at = now + cleaning_period;
@@ -324,23 +339,23 @@
         now,
         [this](tagged_flow const& expired)
         {
-            this->uncount(expired);
+            this->decrement_flow_count(expired);
         });
-    this->known.forget_old(now);
+    this->upstream_table.forget_old(now);
     std::erase_if(
-        this->delays,
+        this->delay_controls,
         [now](auto const& entry)
         {
             return entry.second.is_idle(now);
         });
-    this->suspect_unreachable(now);
-    this->check_silent(now, effects);
+    this->recheck_unreachable(now);
+    this->start_due_checks(now, effects);
     this->domains.ask_again(now);
 }
 
 bool tag_router::is_informed() const
 {
-    return this->routes != nullptr && this->listed != nullptr &&
+    return this->routes != nullptr && this->listed_upstreams != nullptr &&
            this->evacuations != nullptr;
 }
 
@@ -358,34 +373,35 @@
 
 std::string tag_router::name_of(failure_domain_id domain) const
 {
-    return this->known.name_of(domain);
+    return this->upstream_table.name_of(domain);
 }
 
 std::span<tagged_upstream const> tag_router::upstreams() const
 {
-    return this->known.all();
+    return this->upstream_table.all();
 }
 
 std::vector<upstream_candidate>
 tag_router::registered_upstreams(time_point now) const
 {
-    return this->known.registered_ones(now);
+    return this->upstream_table.registered_ones(now);
 }
 
 tagged_explanation tag_router::explain(
     time_point now, flow_id flow, endpoint const& destination) const
 {
-    tagged_explanation found;
+    tagged_explanation explanation;
     auto const route = this->route_by_address.find(destination);
     if (route == this->route_by_address.end())
-        return found;
-    found.route = route->second;
-    found.pool = this->pool_of(*found.route, flow);
-    found.candidates = this->known.candidates(now, found.pool);
-    tagged_flow const* const held = this->flows.find(flow);
-    if (held != nullptr)
-        found.current = this->known.find(held->upstream);
-    return found;
+        return explanation;
+    explanation.route = route->second;
+    explanation.pool = this->pool_of(*explanation.route, flow);
+    explanation.candidates =
+        this->upstream_table.candidates(now, explanation.pool);
+    tagged_flow const* const entry = this->flows.find(flow);
+    if (entry != nullptr)
+        explanation.current = this->upstream_table.find(entry->upstream);
+    return explanation;
 }
 
 std::size_t tag_router::flow_count() const
@@ -393,42 +409,42 @@
     return this->flows.size();
 }
 
-flow_decision tag_router::decide(
+flow_decision tag_router::make_decision(
     flow_step step,
     flow_rule rule,
     flow_id flow,
     flow_ends const& ends,
     tagged_upstream const* upstream) const
 {
-    flow_decision decided;
-    decided.step = step;
-    decided.rule = rule;
-    decided.flow = flow;
-    decided.caller = ends.caller;
-    decided.route = ends.destination;
-    decided.known = this->in_force;
+    flow_decision decision;
+    decision.step = step;
+    decision.rule = rule;
+    decision.flow = flow;
+    decision.caller = ends.caller;
+    decision.route = ends.destination;
+    decision.known = this->in_force;
     if (upstream == nullptr)
-        return decided;
-    decided.service = upstream->registered.pool;
-    decided.upstream = upstream->registered.instance;
-    decided.address = upstream->registered.address;
-    decided.flows = upstream->flows;
-    decided.slots = upstream->registered.slots;
-    return decided;
+        return decision;
+    decision.service = upstream->registered.pool;
+    decision.upstream = upstream->registered.instance;
+    decision.address = upstream->registered.address;
+    decision.flows = upstream->flows;
+    decision.slots = upstream->registered.slots;
+    return decision;
 }
 
-flow_decision tag_router::decide(
+flow_decision tag_router::make_decision(
     flow_step step,
     flow_id flow,
     flow_ends const& ends,
     upstream_choice const& choice) const
 {
-    flow_decision decided =
-        this->decide(step, choice.rule, flow, ends, choice.chosen);
-    decided.service = choice.pool;
-    decided.pool_size = choice.pool_size;
-    decided.ready = choice.ready;
-    return decided;
+    flow_decision decision =
+        this->make_decision(step, choice.rule, flow, ends, choice.chosen);
+    decision.service = choice.pool;
+    decision.pool_size = choice.pool_size;
+    decision.ready = choice.ready;
+    return decision;
 }
 
 void tag_router::drop(
@@ -438,7 +454,7 @@
     effect_list& effects) const
 {
     effects.emplace_back(drop_packet{packet.token, reason});
-    effects.emplace_back(this->decide(
+    effects.emplace_back(this->make_decision(
         flow_step::dropped, rule, packet.flow,
         {packet.source, packet.destination}, nullptr));
 }
--- a/libraries/tagging/tag_router.hpp
+++ b/libraries/tagging/tag_router.hpp
@@ -21,7 +21,7 @@
 namespace cairnhead
 {
 
-/// The versions of the listings.
+/// The document versions of the registry's three listings.
 struct registry_versions
 {
     document_version routes;
@@ -29,25 +29,28 @@
     document_version evacuations;
 };
 
-/// Where a flow's packets go, and where those of a new one would.
+/// The upstream of a flow, and the upstreams that a new flow could get.
 struct tagged_explanation
 {
     /// Null when no route has the address.
     published_route const* route = nullptr;
-    /// The upstreams that a flow of these addresses may get.
+    /// The pool from which a flow between these addresses gets its upstream.
     std::string pool;
-    /// Null for a flow that this VM does not know.
+    /// The flow's upstream; null for a flow that has no entry at this VM.
     tagged_upstream const* current = nullptr;
-    /// In the order in which a new flow would be offered to them.
+    /// Sorted: a new flow gets the first one.
     std::vector<upstream_candidate> candidates;
 };
 
-/// Decides about packets that carry tags: openings are placed by the VM that
-/// gets them, all others go to the upstream that their tag names.
+/// Routes the packets of flows that carry tags: places each opening at an
+/// upstream, and forwards every other packet to the upstream that its tag
+/// names.
 ///
-/// Needs no owner and no copy of a flow's state: whichever VM gets a packet
-/// knows where it belongs, so planned changes and deaths of VMs break nothing.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// A flow needs neither an owner nor a replica of its state. Every VM can
+/// route each of its packets by the tag, so planned changes and crashes of VMs
+/// break no flow.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe: only the reducer's thread calls them.
 class tag_router
 {
 public:
@@ -57,75 +60,72 @@
         failure_domain_id own_domain,
         std::uint64_t seed);
 
-    /// New listings are in force; null ones are ignored. No precondition.
+    /// Puts new listings in force; null ones are ignored.
     void set_listings(
         time_point now,
-        registry_contents told,
+        registry_contents contents,
         registry_versions versions = {});
 
-    /// The VMs of the own failure domain, this one included; none while they
-    /// are not known. No precondition.
+    /// Sets the VMs of the own failure domain, including this one; empty while
+    /// they are not known.
     void set_domain_vms(vm_id self, std::span<vm_id const> vms);
 
-    /// Appends exactly one packet effect for the packet's token.
+    /// Routes a packet; appends exactly one packet effect for its token.
     /// Precondition: the packet carries a tag.
     void
     route(time_point now, packet_arrived const& packet, effect_list& effects);
 
-    /// Does what is due: sends openings again that nobody confirmed, draws
-    /// conclusions about failure domains, and starts checks. No precondition.
+    /// Does the work that is due: retries openings that no caller confirmed,
+    /// updates which failure domains are reachable, and starts checks of
+    /// upstreams.
     void advance(time_point now, effect_list& effects);
 
-    /// When `advance` should be called, if at all. No precondition.
+    /// When `advance` has to be called next; nothing if no work is pending.
     [[nodiscard]] std::optional<time_point> next_due() const;
 
-    /// A VM of the failure domain said something. No precondition.
+    /// Records that a VM of the failure domain sent a message.
     void note_heard(time_point now, failure_domain_id domain);
 
-    /// A check of an upstream ended. No precondition.
+    /// Handles the result of a check of an upstream.
     void receive(
         time_point now, upstream_checked const& result, effect_list& effects);
 
-    /// Failure domains whose VMs are to be asked whether they can be reached,
-    /// since the last call. No precondition.
+    /// The failure domains whose reachability has come into question since the
+    /// last call, and whose VMs therefore have to be probed.
     [[nodiscard]] std::vector<failure_domain_id> take_questions();
 
-    /// Forgets what is over, and has what is out of reach checked again. No
-    /// precondition.
+    /// Removes expired flows and upstreams, and has unreachable upstreams and
+    /// failure domains checked again.
     void tick(time_point now, effect_list& effects);
 
-    /// Whether it has all listings, without which it knows nothing. No
-    /// precondition.
+    /// Whether all listings were received. Until then all packets are dropped.
     [[nodiscard]] bool is_informed() const;
 
-    /// The versions in force, and since when. No precondition.
+    /// The versions of the listings in force, and since when they are.
     [[nodiscard]] registry_knowledge const& registry() const;
 
-    /// The failure domains that are evacuated; valid until the next listing. No
-    /// precondition.
+    /// The evacuated failure domains; valid until the next listing.
     [[nodiscard]] std::span<std::string const> evacuated_domains() const;
 
     /// The failure domain's name, for people; empty when no upstream is in it.
-    /// No precondition.
     [[nodiscard]] std::string name_of(failure_domain_id domain) const;
 
-    /// For views. No precondition.
+    /// All upstreams that this VM knows, for status views.
     [[nodiscard]] std::span<tagged_upstream const> upstreams() const;
 
-    /// The upstreams that the registry has, and what is believed of them. No
-    /// precondition.
+    /// The upstreams in the registry, with their state as this VM sees it.
     [[nodiscard]] std::vector<upstream_candidate>
     registered_upstreams(time_point now) const;
 
-    /// Where a flow goes, and why. Valid until the next event. No precondition.
+    /// Explains where a flow goes. Valid until the next event.
     [[nodiscard]] tagged_explanation
     explain(time_point now, flow_id flow, endpoint const& destination) const;
 
-    /// How many flows are remembered. No precondition.
+    /// How many flows have an entry at this VM.
     [[nodiscard]] std::size_t flow_count() const;
 
 private:
-    /// Whom a flow connects, as its packets say.
+    /// The two addresses that a flow connects, taken from its packets.
     struct flow_ends
     {
         endpoint caller;
@@ -134,7 +134,7 @@
 
     void route_opening(
         time_point now, packet_arrived const& packet, effect_list& effects);
-    void route_copy(
+    void route_retransmission(
         time_point now,
         packet_arrived const& packet,
         tagged_flow& flow,
@@ -149,13 +149,13 @@
         published_route const& route,
         flow_id flow,
         upstream_tag excluded);
-    [[nodiscard]] flow_decision decide(
+    [[nodiscard]] flow_decision make_decision(
         flow_step step,
         flow_rule rule,
         flow_id flow,
         flow_ends const& ends,
         tagged_upstream const* upstream) const;
-    [[nodiscard]] flow_decision decide(
+    [[nodiscard]] flow_decision make_decision(
         flow_step step,
         flow_id flow,
         flow_ends const& ends,
@@ -170,77 +170,82 @@
         packet_arrived const& packet,
         upstream_choice const& choice,
         effect_list& effects) const;
-    void remember_opening(
+    void add_opening(
         time_point now,
         flow_id flow,
         flow_ends const& ends,
-        tagged_upstream& asked);
-    void await_answer(time_point now, packet_arrived const& packet);
-    void retry(time_point now, pending_opening opening, effect_list& effects);
-    void take(time_point now, std::shared_ptr<route_listing const> told);
-    void take(time_point now, std::shared_ptr<upstream_listing const> told);
-    void take(time_point now, std::shared_ptr<evacuation_listing const> told);
-    void report_verdicts(effect_list& effects);
-    void check_silent(time_point now, effect_list& effects);
-    void suspect_all(failure_domain_id domain);
-    void suspect_unreachable(time_point now);
-    void end_flows_of(
+        tagged_upstream& chosen);
+    void schedule_retry(time_point now, packet_arrived const& packet);
+    void retry_opening(
+        time_point now, pending_opening opening, effect_list& effects);
+    void
+    apply_listing(time_point now, std::shared_ptr<route_listing const> listing);
+    void apply_listing(
+        time_point now, std::shared_ptr<upstream_listing const> listing);
+    void apply_listing(
+        time_point now, std::shared_ptr<evacuation_listing const> listing);
+    void report_reachability_changes(effect_list& effects);
+    void start_due_checks(time_point now, effect_list& effects);
+    void suspect_upstreams_of(failure_domain_id domain);
+    void recheck_unreachable(time_point now);
+    void reset_flows_of(
         time_point now,
         tagged_upstream const& upstream,
-        flow_rule why,
+        flow_rule rule,
         effect_list& effects);
-    void end_succeeded(time_point now, effect_list& effects);
-    void end_flow_of_packet(
+    void reset_flows_of_replaced(time_point now, effect_list& effects);
+    void reset_flow_of_packet(
         packet_arrived const& packet,
         tagged_upstream const& upstream,
         effect_list& effects);
     void route_by_tag(
         time_point now, packet_arrived const& packet, effect_list& effects);
-    [[nodiscard]] upstream_tag tag_in_force(packet_arrived const& packet) const;
-    void note_use(
+    [[nodiscard]] upstream_tag
+    effective_tag(packet_arrived const& packet) const;
+    void hasten_check(
         time_point now,
         packet_arrived const& packet,
         tagged_upstream& upstream);
-    void follow(
+    void update_flow(
         time_point now,
         packet_arrived const& packet,
         tagged_upstream& upstream,
         effect_list& effects);
-    void confirm(
+    void confirm_opening(
         time_point now,
         flow_id id,
         tagged_flow& flow,
         tagged_upstream& upstream,
         effect_list& effects);
-    [[nodiscard]] tagged_flow* enter(
+    [[nodiscard]] tagged_flow* find_or_add_flow(
         time_point now,
         packet_arrived const& packet,
         upstream_tag tag,
         effect_list& effects);
-    void note_progress(
+    void record_progress(
         time_point now,
         packet_arrived const& packet,
         tagged_flow& flow,
         tagged_upstream& upstream,
         effect_list& effects);
-    void note_repetition(
+    void record_retransmission(
         time_point now,
         packet_arrived const& packet,
         tagged_flow const& flow,
         tagged_upstream& upstream,
         effect_list& effects);
-    /// A request of the flow was answered just now.
-    void note_wait(
+    /// Records how long the request took that was answered just now.
+    void record_answer_delay(
         time_point now,
         endpoint const& destination,
         tagged_flow const& flow,
         tagged_upstream const& upstream);
-    void note_answered(time_point at, tagged_upstream& upstream);
-    [[nodiscard]] bool is_beyond_queue(
+    void record_answer(time_point at, tagged_upstream& upstream);
+    [[nodiscard]] bool should_refuse_for_delay(
         time_point now,
         packet_arrived const& packet,
         published_route const& route);
-    void note_unanswered(
+    void record_unanswered(
         time_point now, tagged_upstream& upstream, effect_list& effects);
     void avoid(time_point now, tagged_upstream& upstream, effect_list& effects);
     [[nodiscard]] std::vector<report_fact>
@@ -250,10 +255,10 @@
     is_check_due(time_point now, tagged_upstream const& suspect) const;
     void
     start_check(time_point now, tagged_upstream& suspect, effect_list& effects);
-    void remember(flow_id flow, tagged_flow const& added);
-    void forget(flow_id flow);
-    void forget_flows_of(upstream_tag restarted);
-    void uncount(tagged_flow const& flow);
+    void add_flow(flow_id flow, tagged_flow const& added);
+    void remove_flow(flow_id flow);
+    void remove_flows_of(upstream_tag restarted);
+    void decrement_flow_count(tagged_flow const& flow);
     [[nodiscard]] duration idle_timeout() const;
     [[nodiscard]] std::string_view
     pool_of(published_route const& route, flow_id flow) const;
@@ -264,22 +269,23 @@
 
     tagging_settings const& settings;
     std::shared_ptr<route_listing const> routes;
-    std::shared_ptr<upstream_listing const> listed;
+    std::shared_ptr<upstream_listing const> listed_upstreams;
     std::shared_ptr<evacuation_listing const> evacuations;
+    /// Versions of the listings above, and since when each is in force.
     registry_knowledge in_force;
     absl::flat_hash_map<endpoint, published_route const*> route_by_address;
     domain_watch domains;
-    tagged_upstreams known;
+    tagged_upstreams upstream_table;
     tagged_flows flows;
     pending_openings unconfirmed;
-    opening_returns returns;
-    pause_watch pauses;
+    confirmation_tracker confirmations;
+    pause_detector pauses;
     /// By pool.
-    std::map<std::string, queue_delay_control, std::less<>> delays;
-    /// Upstreams whose address another one has now, and whose flows were not
-    /// ended yet.
-    std::vector<upstream_tag> succeeded;
-    /// Upstreams that became silent and were not looked at since.
+    std::map<std::string, queue_delay_control, std::less<>> delay_controls;
+    /// Upstreams whose address another upstream has taken over, and whose flows
+    /// have not been reset yet.
+    std::vector<upstream_tag> replaced_upstreams;
+    /// Upstreams that may need a check; emptied by `start_due_checks`.
     std::vector<upstream_tag> suspects;
     time_point next_cleaning_at;
 };
--- a/libraries/tagging/tag_router_openings.cpp
+++ b/libraries/tagging/tag_router_openings.cpp
@@ -4,7 +4,8 @@
 
 #include <numeric>
 
-/// Openings: where they go, and where they go when nobody answers them.
+/// Placement of openings, and their retries at another upstream when no caller
+/// confirms them.
 namespace cairnhead
 {
 
@@ -13,64 +14,68 @@
 
 using std::chrono_literals::operator""s;
 
-/// An opening that nobody confirmed is over after this: callers give up
-/// earlier.
+/// Lifetime of the entry of an opening that no caller confirmed; callers give
+/// up earlier.
 constexpr duration opening_lifetime = 3s;
 
-/// Callers repeat an opening after so long.
-constexpr duration first_copy = std::chrono::milliseconds(200);
+/// When callers first retransmit an opening.
+constexpr duration first_retransmission = std::chrono::milliseconds(200);
 
-/// A caller's SYN this long after the flow's own is no copy of it: the caller
-/// uses the ports again.
-constexpr duration copy_window = 3s;
+/// A SYN that follows the flow's own SYN by this much or more is not a
+/// retransmission: the caller reuses the ports.
+constexpr duration retransmission_window = 3s;
 
 } // namespace
 
 void tag_router::route_opening(
     time_point now, packet_arrived const& packet, effect_list& effects)
 {
-    if (this->pauses.may_be_elsewhere(now, packet.waited))
+    if (this->pauses.may_be_placed_elsewhere(now, packet.waited))
         return this->drop(
             packet, drop_reason::view_expired, flow_rule::held_by_pause,
             effects);
     tagged_flow* const flow = this->flows.find(packet.flow);
-    bool const is_copy = flow != nullptr &&
-                         now < flow->opened_at + copy_window &&
-                         flow->state != tagged_flow_state::closing;
-    if (is_copy)
-        return this->route_copy(now, packet, *flow, effects);
-    this->forget(packet.flow);
+    bool const is_retransmission =
+        flow != nullptr && now < flow->opened_at + retransmission_window &&
+        flow->state != tagged_flow_state::closing;
+    if (is_retransmission)
+        return this->route_retransmission(now, packet, *flow, effects);
+    this->remove_flow(packet.flow);
     this->place_opening(now, packet, upstream_tag(), effects);
 }
 
-void tag_router::route_copy(
+void tag_router::route_retransmission(
     time_point now,
     packet_arrived const& packet,
     tagged_flow& flow,
     effect_list& effects)
 {
-    tagged_upstream* const upstream = this->known.find(flow.upstream);
+    tagged_upstream* const upstream = this->upstream_table.find(flow.upstream);
     bool const has_data = packet.phase == packet_phase::opening_with_data;
-    bool const may_stay = upstream != nullptr &&
-                          this->known.may_keep_opening(now, *upstream) &&
-                          this->route_by_address.contains(packet.destination);
-    // Data may have run where it was sent first, so it goes nowhere else.
+    bool const may_stay =
+        upstream != nullptr &&
+        this->upstream_table.may_keep_opening(now, *upstream) &&
+        this->route_by_address.contains(packet.destination);
+    // The first upstream may have processed the data already, so no other
+    // upstream may get it.
     if (has_data && upstream != nullptr)
         return send(packet, *upstream, effects);
-    // Counted from when this VM sent the opening, not from when the caller
-    // did: a VM that was held up finds the opening and its copy together, and
-    // would take every upstream for dead.
+    // The timeout runs from when this VM sent the opening, not from when the
+    // caller did. After a pause this VM receives the opening and its
+    // retransmission together, and would otherwise consider every upstream
+    // dead.
     bool const is_unanswered =
         flow.state == tagged_flow_state::opening &&
         now >= flow.opened_at + this->settings.answer_timeout;
     if (may_stay && !is_unanswered)
         return send(packet, *upstream, effects);
     if (upstream != nullptr && is_unanswered)
-        this->note_unanswered(now, *upstream, effects);
+        this->record_unanswered(now, *upstream, effects);
     upstream_tag const excluded = flow.upstream;
-    this->forget(packet.flow);
-    // It carries no data, and the caller answers the first upstream that
-    // answers it; so asking a second one cannot run anything twice.
+    this->remove_flow(packet.flow);
+    // The opening carries no data, and the caller confirms only the first
+    // upstream that answers. So sending it to a second upstream cannot cause a
+    // request to be processed twice.
     this->place_opening(now, packet, excluded, effects);
 }
 
@@ -85,8 +90,9 @@
         return this->drop(
             packet, drop_reason::unknown_destination, flow_rule::no_route,
             effects);
-    // Its copy may reach another VM, and be run by a second upstream. Callers
-    // repeat it without the data (RFC 7413 section 4.1.3).
+    // The opening's retransmission may reach another VM, and a second upstream
+    // would process the data again. Callers retransmit the opening without the
+    // data (RFC 7413 section 4.1.3).
     bool const may_run_twice =
         packet.phase == packet_phase::opening_with_data &&
         !route->second->is_idempotent;
@@ -94,8 +100,9 @@
         return this->drop(
             packet, drop_reason::refused_silently, flow_rule::data_in_opening,
             effects);
-    bool const is_first = excluded == upstream_tag();
-    if (is_first && this->is_beyond_queue(now, packet, *route->second))
+    bool const is_first_attempt = excluded == upstream_tag();
+    if (is_first_attempt &&
+        this->should_refuse_for_delay(now, packet, *route->second))
         return this->refuse(
             now, packet,
             {.rule = flow_rule::queue_too_long,
@@ -107,26 +114,28 @@
         return this->refuse(now, packet, choice, effects);
     flow_ends const ends{packet.source, packet.destination};
     effects.emplace_back(
-        this->decide(flow_step::placed, packet.flow, ends, choice));
-    this->remember_opening(now, packet.flow, ends, *choice.chosen);
-    this->await_answer(now, packet);
+        this->make_decision(flow_step::placed, packet.flow, ends, choice));
+    this->add_opening(now, packet.flow, ends, *choice.chosen);
+    this->schedule_retry(now, packet);
     send(packet, *choice.chosen, effects);
 }
 
-bool tag_router::is_beyond_queue(
+bool tag_router::should_refuse_for_delay(
     time_point now, packet_arrived const& packet, published_route const& route)
 {
-    // A copy's original may have been placed by another VM, and a reset would
-    // end a flow that is open by now.
-    bool const may_be_elsewhere =
-        packet.progress.acknowledged != 0 || packet.waited >= first_copy;
+    // Another VM may have placed the original of a retransmitted opening, and a
+    // reset would end a flow that is established by now.
+    bool const may_be_placed_elsewhere = packet.progress.acknowledged != 0 ||
+                                         packet.waited >= first_retransmission;
     bool const has_target = route.target_latency > duration::zero();
-    if (may_be_elsewhere || !has_target)
+    if (may_be_placed_elsewhere || !has_target)
         return false;
-    auto const control = this->delays.find(this->pool_of(route, packet.flow));
-    if (control == this->delays.end())
+    auto const control =
+        this->delay_controls.find(this->pool_of(route, packet.flow));
+    if (control == this->delay_controls.end())
         return false;
-    // By the flow's hash, so that copies of an opening get one answer.
+    // Drawn by the flow's hash, so that retransmissions of an opening get the
+    // same answer.
     constexpr std::uint64_t parts = 1000;
     auto const draw =
         static_cast<double>(hash_pair(packet.flow.value(), 1) % parts);
@@ -147,7 +156,7 @@
                       ? refusal_reason::upstreams_full
                       : refusal_reason::no_healthy_upstream,
         .retry_at = now + 1s});
-    effects.emplace_back(this->decide(
+    effects.emplace_back(this->make_decision(
         flow_step::refused, packet.flow, {packet.source, packet.destination},
         choice));
 }
@@ -159,30 +168,34 @@
     upstream_tag excluded)
 {
     std::string_view const pool = this->pool_of(route, flow);
-    upstream_choice choice = this->known.choose(now, pool, excluded);
+    upstream_choice choice = this->upstream_table.choose(now, pool, excluded);
     if (choice.chosen != nullptr || excluded == upstream_tag())
         return choice;
-    return this->known.choose(now, pool, upstream_tag());
+    return this->upstream_table.choose(now, pool, upstream_tag());
 }
 
-void tag_router::remember_opening(
-    time_point now, flow_id flow, flow_ends const& ends, tagged_upstream& asked)
+void tag_router::add_opening(
+    time_point now,
+    flow_id flow,
+    flow_ends const& ends,
+    tagged_upstream& chosen)
 {
-    this->known.note_opened(now, asked);
-    this->remember(
+    this->upstream_table.note_opened(now, chosen);
+    this->add_flow(
         flow, {.caller = ends.caller,
                .destination = ends.destination,
-               .upstream = asked.tag,
+               .upstream = chosen.tag,
                .state = tagged_flow_state::opening,
                .opened_at = now,
                .expires_at = now + opening_lifetime,
                .progress = {},
-               .seen_at = now});
+               .last_packet_at = now});
 }
 
-void tag_router::await_answer(time_point now, packet_arrived const& packet)
+void tag_router::schedule_retry(time_point now, packet_arrived const& packet)
 {
-    // Data may have run where it was sent, so only a bare opening is repeated.
+    // An upstream may have processed the data of an opening, so only openings
+    // without data are retried.
     if (packet.phase != packet_phase::opening || packet.opening_bytes.empty())
         return;
     this->unconfirmed.add(
@@ -193,36 +206,35 @@
          .due_at = now + this->settings.retry_after});
 }
 
-void tag_router::retry(
+void tag_router::retry_opening(
     time_point now, pending_opening opening, effect_list& effects)
 {
     tagged_flow* const flow = this->flows.find(opening.flow);
     bool const is_unconfirmed =
         flow != nullptr && flow->state == tagged_flow_state::opening;
     bool const may_be_confirmed_elsewhere =
-        !this->returns.are_expected() ||
-        (flow != nullptr && this->pauses.was_before_pause(flow->opened_at));
+        !this->confirmations.are_delivered_here() ||
+        (flow != nullptr && this->pauses.is_before_pause_end(flow->opened_at));
     if (!is_unconfirmed || may_be_confirmed_elsewhere)
         return;
     flow_ends const ends{flow->caller, opening.destination};
     auto const waited = now - flow->opened_at;
-    // The caller repeats its opening only after a fifth of a second, by which
-    // time most requests of interest to people are late already.
+    // The caller retransmits its opening only after 200 ms; most requests that
+    // a person waits for are late by then.
     upstream_tag const silent = flow->upstream;
-    tagged_upstream* const asked = this->known.find(silent);
-    bool const may_ask_another =
-        opening.retries < this->settings.maximum_retries;
-    if (!may_ask_another)
+    tagged_upstream* const silent_upstream = this->upstream_table.find(silent);
+    bool const may_retry = opening.retries < this->settings.maximum_retries;
+    if (!may_retry)
     {
-        flow_decision abandoned = this->decide(
+        flow_decision abandoned = this->make_decision(
             flow_step::abandoned, flow_rule::opening_unanswered, opening.flow,
-            ends, asked);
+            ends, silent_upstream);
         abandoned.waited = waited;
         effects.emplace_back(abandoned);
         return;
     }
-    if (asked != nullptr)
-        this->note_unanswered(now, *asked, effects);
+    if (silent_upstream != nullptr)
+        this->record_unanswered(now, *silent_upstream, effects);
     auto const route = this->route_by_address.find(opening.destination);
     if (route == this->route_by_address.end())
         return;
@@ -230,12 +242,12 @@
         this->choose(now, *route->second, opening.flow, silent);
     if (choice.chosen == nullptr)
         return;
-    flow_decision offered =
-        this->decide(flow_step::reoffered, opening.flow, ends, choice);
-    offered.waited = waited;
-    effects.emplace_back(offered);
-    this->forget(opening.flow);
-    this->remember_opening(now, opening.flow, ends, *choice.chosen);
+    flow_decision retried =
+        this->make_decision(flow_step::reoffered, opening.flow, ends, choice);
+    retried.waited = waited;
+    effects.emplace_back(retried);
+    this->remove_flow(opening.flow);
+    this->add_opening(now, opening.flow, ends, *choice.chosen);
     registered_upstream const& at = choice.chosen->registered;
     effects.emplace_back(repeat_opening{
         opening.bytes, {at.address, at.port, at.instance}, choice.chosen->tag});
@@ -249,19 +261,20 @@
 {
     std::uint64_t const total = std::accumulate(
         route.pools.begin(), route.pools.end(), std::uint64_t{0},
-        [](std::uint64_t sum, weighted_pool const& part)
+        [](std::uint64_t sum, weighted_pool const& each)
         {
-            return sum + part.weight;
+            return sum + each.weight;
         });
     if (total == 0)
         return {};
-    // By the flow's hash, so that all VMs send its copies to one pool.
+    // Drawn by the flow's hash, so that all VMs send retransmissions of its
+    // opening to the same pool.
     std::uint64_t point = hash_pair(flow.value(), 0) % total;
-    for (weighted_pool const& part : route.pools)
+    for (weighted_pool const& each : route.pools)
     {
-        if (point < part.weight)
-            return part.pool;
-        point -= part.weight;
+        if (point < each.weight)
+            return each.pool;
+        point -= each.weight;
     }
     return {};
 }
--- a/libraries/tagging/tag_router_reach.cpp
+++ b/libraries/tagging/tag_router_reach.cpp
@@ -6,8 +6,8 @@
 #include <optional>
 #include <utility>
 
-/// Who can be reached: what callers' packets tell of upstreams, and what
-/// follows when one is out of reach.
+/// Reachability: what the callers' packets show about upstreams, checks of
+/// silent upstreams, and the resets of flows whose upstream is unreachable.
 namespace cairnhead
 {
 
@@ -16,9 +16,9 @@
 
 using std::chrono_literals::operator""ms;
 
-/// Data that comes again sooner than this got ahead of other data. Callers
-/// repeat it after 200 ms.
-constexpr duration reordering = 100ms;
+/// Data that arrives again sooner than this is reordered, not retransmitted:
+/// callers retransmit after 200 ms.
+constexpr duration reordering_window = 100ms;
 
 std::optional<time_point> opening_time(tagged_flow const& flow)
 {
@@ -32,16 +32,16 @@
 bool tag_router::is_check_due(
     time_point now, tagged_upstream const& suspect) const
 {
-    bool const is_doubted = suspect.reach.is_doubted() ||
+    bool const is_suspect = suspect.reach.is_doubted() ||
                             this->domains.is_unreachable(suspect.domain);
-    return is_doubted && suspect.reach.is_check_due(now, this->settings);
+    return is_suspect && suspect.reach.is_check_due(now, this->settings);
 }
 
-void tag_router::check_silent(time_point now, effect_list& effects)
+void tag_router::start_due_checks(time_point now, effect_list& effects)
 {
     for (upstream_tag const tag : this->suspects)
     {
-        tagged_upstream* const suspect = this->known.find(tag);
+        tagged_upstream* const suspect = this->upstream_table.find(tag);
         if (suspect == nullptr || !this->is_check_due(now, *suspect))
             continue;
         this->start_check(now, *suspect, effects);
@@ -57,24 +57,26 @@
     effects.emplace_back(check_upstream{
         suspect.tag,
         {at.address, at.port},
-        this->known.choose_witnesses(suspect.tag),
+        this->upstream_table.choose_witnesses(suspect.tag),
         at.life});
 }
 
-void tag_router::suspect_unreachable(time_point now)
+void tag_router::recheck_unreachable(time_point now)
 {
-    for (tagged_upstream const& one : this->known.all())
+    for (tagged_upstream const& upstream : this->upstream_table.all())
     {
-        if (one.reach.is_unreachable(now) && !one.missing_since)
-            this->suspects.push_back(one.tag);
+        if (upstream.reach.is_unreachable(now) && !upstream.missing_since)
+            this->suspects.push_back(upstream.tag);
     }
 }
 
 void tag_router::receive(
     time_point now, upstream_checked const& result, effect_list& effects)
 {
-    tagged_upstream* const upstream = this->known.find(result.upstream);
-    // The check of an earlier start says nothing of the one that runs now.
+    tagged_upstream* const upstream =
+        this->upstream_table.find(result.upstream);
+    // The check of an earlier incarnation says nothing about the one that runs
+    // now.
     if (upstream == nullptr || upstream->registered.life != result.life)
         return;
     if (result.outcome == connection_outcome::refused)
@@ -94,7 +96,7 @@
             {},
             this->evidence_of(now, *upstream)});
     if (is_unreachable)
-        this->end_flows_of(
+        this->reset_flows_of(
             now, *upstream, flow_rule::found_unreachable, effects);
 }
 
@@ -120,71 +122,75 @@
     return facts;
 }
 
-void tag_router::end_succeeded(time_point now, effect_list& effects)
+void tag_router::reset_flows_of_replaced(time_point now, effect_list& effects)
 {
-    for (upstream_tag const tag : std::exchange(this->succeeded, {}))
+    for (upstream_tag const tag : std::exchange(this->replaced_upstreams, {}))
     {
-        tagged_upstream const* const ended = this->known.find(tag);
-        if (ended == nullptr || !this->known.is_succeeded(*ended))
+        tagged_upstream const* const replaced = this->upstream_table.find(tag);
+        if (replaced == nullptr ||
+            !this->upstream_table.is_succeeded(*replaced))
             continue;
-        this->end_flows_of(now, *ended, flow_rule::address_taken_over, effects);
+        this->reset_flows_of(
+            now, *replaced, flow_rule::address_taken_over, effects);
     }
 }
 
-void tag_router::end_flow_of_packet(
+void tag_router::reset_flow_of_packet(
     packet_arrived const& packet,
     tagged_upstream const& upstream,
     effect_list& effects)
 {
-    this->forget(packet.flow);
+    this->remove_flow(packet.flow);
     effects.emplace_back(
         drop_packet{packet.token, drop_reason::upstream_unreachable});
     if (packet.phase == packet_phase::reset)
         return;
     effects.emplace_back(reset_known_flow{
         packet.source, packet.destination, packet.progress.acknowledged});
-    effects.emplace_back(this->decide(
+    effects.emplace_back(this->make_decision(
         flow_step::reset, flow_rule::address_taken_over, packet.flow,
         {packet.source, packet.destination}, &upstream));
 }
 
-void tag_router::end_flows_of(
+void tag_router::reset_flows_of(
     time_point now,
     tagged_upstream const& upstream,
-    flow_rule why,
+    flow_rule rule,
     effect_list& effects)
 {
-    // A caller that sends its next request on such a flow waits until its own
-    // time is over, and may not repeat what must not run twice. One whose idle
-    // flow ends opens another.
+    // Without a reset, a caller that sends its next request on such a flow
+    // waits for its own timeout, and may not repeat a request that must not be
+    // processed twice. A caller whose idle flow is reset opens another one.
     for (tagged_flow const& flow : this->flows.take_established(upstream.tag))
     {
-        this->uncount(flow);
+        this->decrement_flow_count(flow);
         if (!flow.progress)
             continue;
         effects.emplace_back(reset_known_flow{
             flow.caller, flow.destination, flow.progress->acknowledged});
-        flow_decision ended = this->decide(
-            flow_step::reset, why, flow.id, {flow.caller, flow.destination},
+        flow_decision decision = this->make_decision(
+            flow_step::reset, rule, flow.id, {flow.caller, flow.destination},
             &upstream);
         if (auto const since = upstream.reach.silent_since())
-            ended.waited = now - *since;
-        ended.opened_at = opening_time(flow);
-        effects.emplace_back(ended);
+            decision.waited = now - *since;
+        decision.opened_at = opening_time(flow);
+        effects.emplace_back(decision);
     }
 }
 
-void tag_router::suspect_all(failure_domain_id domain)
+void tag_router::suspect_upstreams_of(failure_domain_id domain)
 {
-    for (tagged_upstream const& one : this->known.all())
+    for (tagged_upstream const& upstream : this->upstream_table.all())
     {
-        // A check serves to end flows; new ones go elsewhere without it.
-        if (one.domain == domain && !one.missing_since && one.flows > 0)
-            this->suspects.push_back(one.tag);
+        // A check is needed only to reset flows; new flows avoid an unreachable
+        // domain without it.
+        if (upstream.domain == domain && !upstream.missing_since &&
+            upstream.flows > 0)
+            this->suspects.push_back(upstream.tag);
     }
 }
 
-void tag_router::report_verdicts(effect_list& effects)
+void tag_router::report_reachability_changes(effect_list& effects)
 {
     for (domain_watch::verdict const& changed : this->domains.take_verdicts())
     {
@@ -192,13 +198,13 @@
                               ? report_kind::domain_unreachable
                               : report_kind::domain_reachable;
         effects.emplace_back(
-            report{kind, this->known.name_of(changed.domain), {}});
+            report{kind, this->upstream_table.name_of(changed.domain), {}});
         if (changed.is_unreachable)
-            this->suspect_all(changed.domain);
+            this->suspect_upstreams_of(changed.domain);
     }
 }
 
-void tag_router::note_use(
+void tag_router::hasten_check(
     time_point now, packet_arrived const& packet, tagged_upstream& upstream)
 {
     if (!packet.progress.has_data || !upstream.reach.is_unreachable(now))
@@ -207,75 +213,79 @@
     this->suspects.push_back(upstream.tag);
 }
 
-void tag_router::note_progress(
+void tag_router::record_progress(
     time_point now,
     packet_arrived const& packet,
     tagged_flow& flow,
     tagged_upstream& upstream,
     effect_list& effects)
 {
-    flow_progress const& told = packet.progress;
+    flow_progress const& reported = packet.progress;
     if (!flow.progress)
     {
-        flow.progress = told;
-        flow.data_at = now;
-        flow.awaits_answer = told.has_data;
+        flow.progress = reported;
+        flow.last_new_data_at = now;
+        flow.awaits_answer = reported.has_data;
         return;
     }
-    flow_progress& known_progress = *flow.progress;
-    // Only an answer to what passed this VM shows that the upstream can be
-    // reached from here. An upstream behind a cut still reaches callers, and
-    // ends idle flows unasked. And a caller acknowledges a short answer only
-    // with its next request or its end, which may come seconds later. Taken
-    // for news, either would hide that a failure domain is cut off.
-    bool const is_late = told.has_data || packet.phase == packet_phase::closing;
-    time_point const answered_at = is_late ? flow.seen_at : now;
-    bool const is_answered = told.acknowledged != known_progress.acknowledged &&
+    flow_progress& progress = *flow.progress;
+    // Only an answer to a packet that passed this VM shows that the upstream is
+    // reachable from here. An upstream beyond a network partition still reaches
+    // callers, and closes idle flows on its own. And a caller acknowledges a
+    // short answer only with its next request or its FIN, which may come
+    // seconds later. Counting either as a fresh answer would hide that a
+    // failure domain is partitioned.
+    bool const is_late =
+        reported.has_data || packet.phase == packet_phase::closing;
+    time_point const answered_at = is_late ? flow.last_packet_at : now;
+    bool const is_answered = reported.acknowledged != progress.acknowledged &&
                              flow.state != tagged_flow_state::closing;
     if (is_answered)
-        this->note_answered(answered_at, upstream);
-    // One that comes with the next request, or with the end, may be seconds
-    // old, and says nothing of the wait.
+        this->record_answer(answered_at, upstream);
+    // An acknowledgement that comes with the next request, or with the FIN, may
+    // be seconds late, so it says nothing about the answer's delay.
     if (is_answered && !is_late && flow.awaits_answer)
-        this->note_wait(now, packet.destination, flow, upstream);
+        this->record_answer_delay(now, packet.destination, flow, upstream);
     flow.awaits_answer &= !is_answered;
-    // Numbers wrap around, so their difference tells which comes first.
+    // Sequence numbers wrap around, so the sign of their difference gives their
+    // order.
     auto const ahead =
-        static_cast<std::int32_t>(told.sequence - known_progress.sequence);
-    // Packets of one request may overtake each other; a caller repeats itself
-    // only after a while.
-    bool const is_repeated = told.has_data && known_progress.has_data &&
-                             ahead <= 0 && now >= flow.data_at + reordering;
-    if (is_repeated)
-        this->note_repetition(now, packet, flow, upstream, effects);
-    known_progress.acknowledged = told.acknowledged;
-    if (!told.has_data)
+        static_cast<std::int32_t>(reported.sequence - progress.sequence);
+    // Packets of one request may be reordered; a caller retransmits only after
+    // a while.
+    bool const is_retransmission =
+        reported.has_data && progress.has_data && ahead <= 0 &&
+        now >= flow.last_new_data_at + reordering_window;
+    if (is_retransmission)
+        this->record_retransmission(now, packet, flow, upstream, effects);
+    progress.acknowledged = reported.acknowledged;
+    if (!reported.has_data)
         return;
-    if (ahead <= 0 && known_progress.has_data)
+    if (ahead <= 0 && progress.has_data)
         return;
-    known_progress.sequence = told.sequence;
-    known_progress.has_data = true;
-    flow.data_at = now;
+    progress.sequence = reported.sequence;
+    progress.has_data = true;
+    flow.last_new_data_at = now;
     flow.awaits_answer = true;
 }
 
-void tag_router::note_repetition(
+void tag_router::record_retransmission(
     time_point now,
     packet_arrived const& packet,
     tagged_flow const& flow,
     tagged_upstream& upstream,
     effect_list& effects)
 {
-    flow_decision repeated = this->decide(
+    flow_decision decision = this->make_decision(
         flow_step::repeated, flow_rule::data_unanswered, packet.flow,
         {packet.source, packet.destination}, &upstream);
-    repeated.waited = now - flow.seen_at;
-    repeated.opened_at = opening_time(flow);
-    effects.emplace_back(repeated);
+    decision.waited = now - flow.last_packet_at;
+    decision.opened_at = opening_time(flow);
+    effects.emplace_back(decision);
     this->suspect(now, upstream);
 }
 
-void tag_router::note_wait(
+void tag_router::record_answer_delay(
     time_point now,
     endpoint const& destination,
     tagged_flow const& flow,
@@ -284,17 +294,17 @@
     auto const route = this->route_by_address.find(destination);
     if (route == this->route_by_address.end())
         return;
-    this->delays[upstream.registered.pool].note_answer(
-        now, now - flow.data_at, route->second->target_latency);
+    this->delay_controls[upstream.registered.pool].note_answer(
+        now, now - flow.last_new_data_at, route->second->target_latency);
 }
 
-void tag_router::note_answered(time_point at, tagged_upstream& upstream)
+void tag_router::record_answer(time_point at, tagged_upstream& upstream)
 {
     tagged_upstreams::note_answered(at, upstream);
     this->domains.note_answered(at, upstream.domain);
 }
 
-void tag_router::note_unanswered(
+void tag_router::record_unanswered(
     time_point now, tagged_upstream& upstream, effect_list& effects)
 {
     this->avoid(now, upstream, effects);
@@ -305,7 +315,7 @@
     time_point now, tagged_upstream& upstream, effect_list& effects)
 {
     bool const was_avoided = now < upstream.avoided_until;
-    this->known.note_unanswered(now, upstream);
+    this->upstream_table.note_unanswered(now, upstream);
     if (was_avoided)
         return;
     auto facts = this->evidence_of(now, upstream);
@@ -326,7 +336,8 @@
     this->suspects.push_back(upstream.tag);
     if (this->domains.may_be_unreachable(now, upstream.domain))
         this->domains.note_silent(
-            now, upstream.domain, this->known.count_silent(upstream.domain));
+            now, upstream.domain,
+            this->upstream_table.count_silent(upstream.domain));
 }
 
 void tag_router::note_heard(time_point now, failure_domain_id domain)
--- a/libraries/tagging/tagged_flows.cpp
+++ b/libraries/tagging/tagged_flows.cpp
@@ -25,9 +25,10 @@
 {
     if (this->flows.size() >= this->maximum)
         return nullptr;
-    tagged_flow& kept = this->flows.insert_or_assign(flow, added).first->second;
-    kept.id = flow;
-    return &kept;
+    tagged_flow& entry =
+        this->flows.insert_or_assign(flow, added).first->second;
+    entry.id = flow;
+    return &entry;
 }
 
 void tagged_flows::remove(flow_id flow)
@@ -43,14 +44,14 @@
         [&](auto const& entry)
         {
             tagged_flow const& flow = entry.second;
-            bool const is_meant = flow.upstream == upstream &&
+            bool const is_taken = flow.upstream == upstream &&
                                   flow.state == tagged_flow_state::established;
-            if (is_meant)
+            if (is_taken)
                 taken.push_back(flow);
-            return is_meant;
+            return is_taken;
         });
-    // The table's order differs from process to process, while the same
-    // events must give the same effects.
+    // The iteration order of the hash table differs between processes, but the
+    // same events must lead to the same effects.
     std::ranges::sort(taken, {}, &tagged_flow::caller);
     return taken;
 }
--- a/libraries/tagging/tagged_flows.hpp
+++ b/libraries/tagging/tagged_flows.hpp
@@ -12,17 +12,17 @@
 namespace cairnhead
 {
 
-/// How far a flow has come, as far as the caller's packets show it.
+/// State of a flow's connection, derived from the caller's packets alone.
 enum class tagged_flow_state : std::uint8_t
 {
-    /// Its opening was sent; the caller has not confirmed an answer.
+    /// The opening was sent; the caller has not confirmed an answer.
     opening,
     established,
     /// The caller sent FIN.
     closing,
 };
 
-/// A flow whose packets pass this VM.
+/// Entry of a flow whose packets pass this VM.
 struct tagged_flow
 {
     flow_id id{};
@@ -30,43 +30,42 @@
     endpoint destination;
     upstream_tag upstream;
     tagged_flow_state state = tagged_flow_state::opening;
-    /// When this VM sent the opening last; the earliest moment there is for a
-    /// flow that was opened elsewhere.
+    /// When this VM last sent the opening; `time_point::min()` for a flow that
+    /// another VM placed.
     time_point opened_at;
     time_point expires_at;
-    /// How far the flow has come, as far as packets told here.
+    /// The numbers of the flow's latest packets that passed this VM.
     std::optional<flow_progress> progress;
-    /// When its latest packet came.
-    time_point seen_at;
-    /// When data came that was new.
-    time_point data_at{};
-    /// Whether data was not answered yet.
+    time_point last_packet_at;
+    /// When the caller last sent data that was no retransmission.
+    time_point last_new_data_at{};
+    /// Whether the latest data has not been answered yet.
     bool awaits_answer = false;
 };
 
-/// The flows that pass this VM now. A flow that moves to another VM needs no
-/// entry there: its packets name its upstream. The entries serve to keep the
-/// copies of an opening together and to count the load of upstreams.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// Table of the flows whose packets pass this VM.
+///
+/// A flow that moves to another VM needs no entry there: the tag of its packets
+/// names its upstream. The entries serve to send retransmissions of an opening
+/// to the same upstream, and to count the load of upstreams.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe: only the reducer's thread calls them.
 class tagged_flows
 {
 public:
     explicit tagged_flows(std::size_t maximum_flows);
 
     /// The flow's entry, or nullptr; valid until the next change.
-    /// No precondition.
     [[nodiscard]] tagged_flow* find(flow_id flow);
     [[nodiscard]] tagged_flow const* find(flow_id flow) const;
 
-    /// Adds a flow, unless the table is full: then nullptr.
+    /// Adds a flow and returns its entry; nullptr if the table is full.
     /// Precondition: the flow has no entry.
     tagged_flow* insert(flow_id flow, tagged_flow const& added);
 
-    /// Removes a flow. No precondition.
     void remove(flow_id flow);
 
-    /// Removes all that expired, and calls `on_expired` for each. No
-    /// precondition.
+    /// Removes all expired flows, and calls `on_expired` for each.
     template <typename Function>
     void expire(time_point now, Function const& on_expired)
     {
@@ -74,19 +73,18 @@
             this->flows,
             [&](auto const& entry)
             {
-                bool const is_over = entry.second.expires_at <= now;
-                if (is_over)
+                bool const is_expired = entry.second.expires_at <= now;
+                if (is_expired)
                     on_expired(entry.second);
-                return is_over;
+                return is_expired;
             });
     }
 
-    /// Removes all flows of an upstream that are established, and gives them,
-    /// sorted by caller. No precondition.
+    /// Removes all established flows of an upstream, and returns them sorted by
+    /// caller.
     [[nodiscard]] std::vector<tagged_flow>
     take_established(upstream_tag upstream);
 
-    /// No precondition.
     [[nodiscard]] std::size_t size() const;
 
 private:
--- a/tests/tagging/late_vm.hpp
+++ b/tests/tagging/late_vm.hpp
@@ -11,10 +11,9 @@
 #include <random>
 #include <set>
 
-/// One VM that may be late in every way that a VM can be late: its link is
-/// full, its process stands still, or both. Around it, upstreams that live,
-/// are slow or die, and callers that repeat themselves. All time and chance is
-/// injected.
+/// Simulates one VM that handles packets late because its link is full, its
+/// process is paused, or both; upstreams that answer, are slow or die; and
+/// callers that retransmit. Time and randomness are injected.
 namespace cairnhead::tagging_test
 {
 
@@ -24,10 +23,10 @@
     std::size_t upstreams = 6;
     std::size_t flows = 24;
     duration length = 20s;
-    /// How many times the link fills up, and for how long at most.
+    /// How often the link becomes full, and for how long at most.
     std::size_t full_links = 4;
     duration longest_full_link = 2s;
-    /// How many times the process stands still, and for how long at most.
+    /// How often the process is paused, and for how long at most.
     std::size_t pauses = 4;
     duration longest_pause = 1500ms;
     std::size_t dying_upstreams = 2;
@@ -40,8 +39,8 @@
         : plan(chosen), random(chosen.seed), time(time_point(1h)),
           router(this->settings, make_failure_domain_id("perth"), chosen.seed)
     {
-        this->list();
-        this->plan_trouble();
+        this->apply_listings();
+        this->schedule_disruptions();
         for (std::size_t index = 0; index < this->plan.flows; ++index)
             this->start_flow(index);
         this->schedule_tick();
@@ -52,20 +51,20 @@
         this->time.run_for(this->plan.length + 5s);
     }
 
-    /// Flows that were ended while their upstream lived.
-    [[nodiscard]] std::size_t wrong_resets() const
+    /// Flows that were reset although their upstream was alive.
+    [[nodiscard]] std::size_t resets_of_live_upstreams() const
     {
-        return this->wrong;
+        return this->live_upstream_resets;
     }
 
-    /// Flows that were ended as they should be.
-    [[nodiscard]] std::size_t right_resets() const
+    /// Flows that were reset because their upstream was dead.
+    [[nodiscard]] std::size_t resets_of_dead_upstreams() const
     {
-        return this->right;
+        return this->dead_upstream_resets;
     }
 
-    /// Checks that ended so.
-    [[nodiscard]] std::size_t ended(connection_outcome outcome) const
+    /// How many checks had this outcome.
+    [[nodiscard]] std::size_t checks_with(connection_outcome outcome) const
     {
         auto const found = this->outcomes.find(outcome);
         return found == this->outcomes.end() ? 0 : found->second;
@@ -77,10 +76,10 @@
         std::size_t upstream = 0;
         std::uint32_t sequence = 100;
         std::uint32_t acknowledged = 500;
-        /// Of the request that waits for an answer.
+        /// Whether the request `sequence` has no answer yet.
         bool is_waiting = false;
-        bool is_over = false;
-        duration next_repetition{};
+        bool is_reset = false;
+        duration retransmission_timeout{};
     };
 
     struct running_check
@@ -88,21 +87,22 @@
         upstream_tag suspect;
         connection_trial trial;
         std::optional<time_point> suspect_answers_at;
-        std::optional<time_point> witness_answers_at;
+        std::optional<time_point> reference_answers_at;
     };
 
-    duration any(duration least, duration most)
+    duration random_duration(duration minimum, duration maximum)
     {
-        auto const span = static_cast<std::uint64_t>((most - least).count());
-        return least + duration(this->random() % (span + 1));
+        auto const span =
+            static_cast<std::uint64_t>((maximum - minimum).count());
+        return minimum + duration(this->random() % (span + 1));
     }
 
-    time_point any_moment()
+    time_point random_time()
     {
-        return this->time.now() + this->any(1s, this->plan.length);
+        return this->time.now() + this->random_duration(1s, this->plan.length);
     }
 
-    void list()
+    void apply_listings()
     {
         upstream_listing listing;
         for (std::size_t index = 0; index < this->plan.upstreams; ++index)
@@ -122,14 +122,14 @@
              std::make_shared<evacuation_listing const>()});
     }
 
-    void plan_trouble()
+    void schedule_disruptions()
     {
         for (std::size_t count = 0; count < this->plan.full_links; ++count)
         {
             duration const backlog =
-                this->any(10ms, this->plan.longest_full_link);
+                this->random_duration(10ms, this->plan.longest_full_link);
             this->time.add(
-                this->any_moment(),
+                this->random_time(),
                 [this, backlog]
                 {
                     this->link_free_at =
@@ -139,39 +139,40 @@
         }
         for (std::size_t count = 0; count < this->plan.pauses; ++count)
         {
-            duration const pause = this->any(10ms, this->plan.longest_pause);
+            duration const pause =
+                this->random_duration(10ms, this->plan.longest_pause);
             this->time.add(
-                this->any_moment(),
+                this->random_time(),
                 [this, pause]
                 {
-                    this->runs_again_at =
-                        std::max(this->runs_again_at, this->time.now() + pause);
+                    this->pause_ends_at =
+                        std::max(this->pause_ends_at, this->time.now() + pause);
                 });
         }
         for (std::size_t index = 0; index < this->plan.dying_upstreams; ++index)
             this->time.add(
-                this->any_moment(),
+                this->random_time(),
                 [this, index]
                 {
-                    this->dead.insert(index);
+                    this->dead_upstreams.insert(index);
                 });
     }
 
-    /// What the process does; it waits while the process stands still.
-    void in_process(std::function<void()> work)
+    /// Runs the process's work; during a pause it is deferred until the end.
+    void run_in_process(std::function<void()> work)
     {
-        if (this->time.now() >= this->runs_again_at)
+        if (this->time.now() >= this->pause_ends_at)
             return work();
         this->time.add(
-            this->runs_again_at,
+            this->pause_ends_at,
             [this, work = std::move(work)]
             {
-                this->in_process(work);
+                this->run_in_process(work);
             });
     }
 
-    /// When a packet that is sent now has left the VM.
-    time_point leave_at()
+    /// When a packet that is sent now leaves the VM's link.
+    time_point departure_time()
     {
         return std::max(this->link_free_at, this->time.now()) + 200us;
     }
@@ -183,7 +184,7 @@
             [this]
             {
                 this->schedule_tick();
-                this->in_process(
+                this->run_in_process(
                     [this]
                     {
                         effect_list effects;
@@ -203,53 +204,53 @@
     void schedule_request(std::size_t index)
     {
         this->time.add(
-            this->time.now() + this->any(20ms, 4s),
+            this->time.now() + this->random_duration(20ms, 4s),
             [this, index]
             {
-                caller& one = this->callers[index];
-                if (one.is_over)
+                caller& sender = this->callers[index];
+                if (sender.is_reset)
                     return;
-                one.is_waiting = true;
-                one.sequence += 100;
-                one.next_repetition = 200ms;
+                sender.is_waiting = true;
+                sender.sequence += 100;
+                sender.retransmission_timeout = 200ms;
                 this->send_request(index);
             });
     }
 
     void send_request(std::size_t index)
     {
-        caller& one = this->callers[index];
-        std::uint32_t const sequence = one.sequence;
-        this->pass(index, true);
-        duration const wait = one.next_repetition;
-        one.next_repetition = std::min<duration>(wait * 2, 1600ms);
+        caller& sender = this->callers[index];
+        std::uint32_t const sequence = sender.sequence;
+        this->send_packet(index, true);
+        duration const wait = sender.retransmission_timeout;
+        sender.retransmission_timeout = std::min<duration>(wait * 2, 1600ms);
         this->time.add(
             this->time.now() + wait,
             [this, index, sequence]
             {
                 caller const& waiting = this->callers[index];
                 if (waiting.is_waiting && waiting.sequence == sequence &&
-                    !waiting.is_over)
+                    !waiting.is_reset)
                     this->send_request(index);
             });
     }
 
-    /// A packet of the caller comes to the VM.
-    void pass(std::size_t index, bool has_data)
+    /// Delivers a packet of the caller to the VM.
+    void send_packet(std::size_t index, bool has_data)
     {
-        caller const& one = this->callers[index];
+        caller const& sender = this->callers[index];
         packet_arrived arrived;
         arrived.flow = flow_id(index + 1);
         arrived.destination = {
             ipv4_address(0xc6120001), known_port, transport_protocol::tcp};
         arrived.phase = packet_phase::ongoing;
         arrived.token = packet_token(1);
-        arrived.tag = tag_of(instance_number(one.upstream + 1));
+        arrived.tag = tag_of(instance_number(sender.upstream + 1));
         arrived.source = {
             ipv4_address(0x64400001), static_cast<std::uint16_t>(index + 1),
             transport_protocol::tcp};
-        arrived.progress = {one.sequence, one.acknowledged, has_data};
-        this->in_process(
+        arrived.progress = {sender.sequence, sender.acknowledged, has_data};
+        this->run_in_process(
             [this, arrived, index, has_data]
             {
                 effect_list effects;
@@ -262,71 +263,75 @@
 
     void deliver(std::size_t index, std::uint32_t sequence)
     {
-        // Some work takes longer than callers wait before they repeat it.
-        duration const work = this->random() % 8 == 0 ? this->any(200ms, 900ms)
-                                                      : this->any(5ms, 60ms);
+        // Some requests take longer than the callers' retransmission timeout.
+        duration const work = this->random() % 8 == 0
+                                  ? this->random_duration(200ms, 900ms)
+                                  : this->random_duration(5ms, 60ms);
         this->time.add(
-            this->leave_at() + work,
+            this->departure_time() + work,
             [this, index, sequence]
             {
-                caller& one = this->callers[index];
+                caller& sender = this->callers[index];
                 bool const is_answered =
-                    !this->dead.contains(one.upstream) && one.is_waiting &&
-                    one.sequence == sequence && !one.is_over;
+                    !this->dead_upstreams.contains(sender.upstream) &&
+                    sender.is_waiting && sender.sequence == sequence &&
+                    !sender.is_reset;
                 if (!is_answered)
                     return;
-                one.is_waiting = false;
-                one.acknowledged += 1000;
-                this->pass(index, false);
+                sender.is_waiting = false;
+                sender.acknowledged += 1000;
+                this->send_packet(index, false);
                 this->schedule_request(index);
             });
     }
 
     void carry_out(effect_list const& effects)
     {
-        for (effect const& each : effects)
+        for (effect const& produced : effects)
         {
-            if (auto const* const check = std::get_if<check_upstream>(&each))
-                this->begin(*check);
-            if (auto const* const reset = std::get_if<reset_known_flow>(&each))
+            if (auto const* const check =
+                    std::get_if<check_upstream>(&produced))
+                this->begin_check(*check);
+            if (auto const* const reset =
+                    std::get_if<reset_known_flow>(&produced))
                 this->end_flow(reset->caller.port - 1U);
         }
     }
 
-    std::optional<time_point> answer_of(connection_target const& asked)
+    std::optional<time_point> answer_time(connection_target const& asked)
     {
         std::size_t const index = asked.address.value() - 0x0a000000U - 1U;
-        if (this->dead.contains(index))
+        if (this->dead_upstreams.contains(index))
             return std::nullopt;
-        return this->leave_at() + this->any(200us, 2ms);
+        return this->departure_time() + this->random_duration(200us, 2ms);
     }
 
-    void begin(check_upstream const& wanted)
+    void begin_check(check_upstream const& wanted)
     {
         running_check started{
             wanted.upstream, connection_trial(this->time.now()),
-            this->answer_of(wanted.suspect), std::nullopt};
-        for (connection_target const& witness : wanted.witnesses)
+            this->answer_time(wanted.suspect), std::nullopt};
+        for (connection_target const& reference : wanted.witnesses)
         {
-            auto const answer = this->answer_of(witness);
+            auto const answer = this->answer_time(reference);
             if (!answer)
                 continue;
-            started.witness_answers_at =
-                std::min(started.witness_answers_at.value_or(*answer), *answer);
+            started.reference_answers_at = std::min(
+                started.reference_answers_at.value_or(*answer), *answer);
         }
-        this->look_later(started);
+        this->schedule_evaluation(started);
     }
 
-    void look_later(running_check const& check)
+    void schedule_evaluation(running_check const& check)
     {
         this->time.add(
             check.trial.next_due(),
             [this, check]
             {
-                this->in_process(
+                this->run_in_process(
                     [this, check]
                     {
-                        this->look(check);
+                        this->evaluate(check);
                     });
             });
     }
@@ -338,13 +343,13 @@
                    : connection_state::pending;
     }
 
-    void look(running_check check)
+    void evaluate(running_check check)
     {
         auto const outcome = check.trial.judge(
             this->time.now(), {this->state_of(check.suspect_answers_at),
-                               this->state_of(check.witness_answers_at)});
+                               this->state_of(check.reference_answers_at)});
         if (!outcome)
-            return this->look_later(check);
+            return this->schedule_evaluation(check);
         ++this->outcomes[*outcome];
         effect_list effects;
         this->router.receive(
@@ -354,12 +359,12 @@
 
     void end_flow(std::size_t index)
     {
-        caller& one = this->callers[index];
-        one.is_over = true;
-        if (this->dead.contains(one.upstream))
-            ++this->right;
+        caller& sender = this->callers[index];
+        sender.is_reset = true;
+        if (this->dead_upstreams.contains(sender.upstream))
+            ++this->dead_upstream_resets;
         else
-            ++this->wrong;
+            ++this->live_upstream_resets;
     }
 
     late_vm_plan plan;
@@ -368,12 +373,12 @@
     tagging_settings settings;
     tag_router router;
     std::map<std::size_t, caller> callers;
-    std::set<std::size_t> dead;
+    std::set<std::size_t> dead_upstreams;
     time_point link_free_at;
-    time_point runs_again_at;
+    time_point pause_ends_at;
     std::map<connection_outcome, std::size_t> outcomes;
-    std::size_t wrong = 0;
-    std::size_t right = 0;
+    std::size_t live_upstream_resets = 0;
+    std::size_t dead_upstream_resets = 0;
 };
 
 } // namespace cairnhead::tagging_test
--- a/tests/tagging/router_fixture.hpp
+++ b/tests/tagging/router_fixture.hpp
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-/// A router of packets that carry tags, with injected time.
+/// Fixture of the tests of `tag_router`, with injected time.
 namespace cairnhead::tagging_test
 {
 
@@ -39,8 +39,9 @@
         .failure_domain = std::move(domain)};
 }
 
-/// A router that has upstreams and routes: to the pool `main`, to `other`, and
-/// one that splits its flows between `main` and `other`, 1 to 3.
+/// Runs a router with upstreams and four routes: two to the pool `main`, one of
+/// them idempotent, one to `other`, and one that splits its flows between
+/// `main` and `other`, 1 to 3.
 class bench
 {
 public:
@@ -54,7 +55,7 @@
         this->evacuate({});
     }
 
-    /// These failure domains are evacuated now, and no others.
+    /// Evacuates exactly these failure domains.
     void evacuate(std::vector<std::string> domains)
     {
         this->router.set_listings(
@@ -63,7 +64,8 @@
                  evacuation_listing{std::move(domains)})});
     }
 
-    /// `target`: an answer after this is late.
+    /// Lists the routes. `target`: their target latency; later answers are
+    /// late.
     void list_routes(duration target, std::vector<pool_warmup> warmups = {})
     {
         route_listing routes;
@@ -88,6 +90,7 @@
             {.routes = std::make_shared<route_listing const>(routes)});
     }
 
+    /// Puts a new listing of upstreams in force.
     void list(std::vector<registered_upstream> upstreams)
     {
         this->router.set_listings(
@@ -95,14 +98,15 @@
                             upstream_listing{std::move(upstreams)})});
     }
 
+    /// Lets time pass at once, then calls `tick` and `advance`.
     void wait(duration time)
     {
         this->now += time;
-        this->router.tick(this->now, this->kept);
-        this->router.advance(this->now, this->kept);
+        this->router.tick(this->now, this->other_effects);
+        this->router.advance(this->now, this->other_effects);
     }
 
-    /// The only packet effect that the packet led to.
+    /// Routes a packet and returns its packet effect.
     effect pass(
         std::uint64_t flow,
         packet_phase phase,
@@ -124,21 +128,21 @@
         arrived.progress = this->next_progress;
         arrived.opening_bytes = opening_bytes;
         arrived.waited = this->next_waited;
-        return this->decide(arrived);
+        return this->route(arrived);
     }
 
-    /// A request of the flow, or its repetition.
+    /// Routes a request of the flow, or its retransmission.
     effect
     request(std::uint64_t flow, std::uint64_t tag, std::uint32_t sequence = 100)
     {
         this->next_progress = {sequence, 500, true};
-        auto decided = this->pass(
+        auto result = this->pass(
             flow, packet_phase::ongoing, static_cast<std::uint32_t>(tag));
         this->next_progress = {};
-        return decided;
+        return result;
     }
 
-    /// A request that acknowledges what came before it.
+    /// Routes a request that acknowledges the answer to the one before it.
     effect next_request_acknowledges(
         std::uint64_t flow,
         std::uint64_t tag,
@@ -146,13 +150,13 @@
         std::uint32_t acknowledged)
     {
         this->next_progress = {sequence, acknowledged, true};
-        auto decided = this->pass(
+        auto result = this->pass(
             flow, packet_phase::ongoing, static_cast<std::uint32_t>(tag));
         this->next_progress = {};
-        return decided;
+        return result;
     }
 
-    /// The caller acknowledges an answer.
+    /// Routes the caller's acknowledgement of an answer.
     void acknowledge(
         std::uint64_t flow, std::uint64_t tag, std::uint32_t acknowledged)
     {
@@ -162,7 +166,7 @@
         this->next_progress = {};
     }
 
-    /// Lets time pass until the router's next deadline, at most `longest`.
+    /// Lets `longest` pass, and calls `advance` at each deadline of the router.
     void advance(duration longest)
     {
         time_point const end = this->now + longest;
@@ -170,12 +174,12 @@
              due = this->router.next_due())
         {
             this->now = std::max(this->now, *due);
-            this->router.advance(this->now, this->kept);
+            this->router.advance(this->now, this->other_effects);
         }
         this->now = end;
     }
 
-    /// A check of the upstream ended.
+    /// Delivers the result of a check of the upstream.
     void end_check(
         std::uint64_t instance,
         connection_outcome outcome,
@@ -183,16 +187,17 @@
     {
         this->router.receive(
             this->now, {tag_of(instance_number(instance)), outcome, life},
-            this->kept);
+            this->other_effects);
     }
 
-    /// The effects of this kind that came without a packet, taken out.
+    /// Removes and returns the effects of this kind that are not packet
+    /// effects.
     template <typename Kind>
     std::vector<Kind> take()
     {
         std::vector<Kind> found;
         std::erase_if(
-            this->kept,
+            this->other_effects,
             [&found](effect const& item)
             {
                 auto const* const wanted = std::get_if<Kind>(&item);
@@ -203,40 +208,41 @@
         return found;
     }
 
-    /// The instance to which the opening went; zero for none.
+    /// Routes an opening; returns the instance that got it, zero for none.
     std::uint64_t open(std::uint64_t flow, std::uint16_t port = known_port)
     {
         return instance_of(this->pass(flow, packet_phase::opening, 0, port));
     }
 
-    /// The decision about an opening that waited so long in the VM's socket.
+    /// Routes an opening that was queued in the VM's socket for `waited`.
     effect open_late(std::uint64_t flow, duration waited)
     {
         this->next_waited = waited;
-        auto decided = this->pass(flow, packet_phase::opening, 0);
+        auto result = this->pass(flow, packet_phase::opening, 0);
         this->next_waited = {};
-        return decided;
+        return result;
     }
 
-    /// The decision about the nth copy of an opening.
-    effect open_copy(std::uint64_t flow, std::uint32_t copy)
+    /// Routes the nth retransmission of an opening.
+    effect open_copy(std::uint64_t flow, std::uint32_t number)
     {
-        this->next_progress = {0, copy, false};
-        auto decided = this->pass(flow, packet_phase::opening, 0);
+        this->next_progress = {0, number, false};
+        auto result = this->pass(flow, packet_phase::opening, 0);
         this->next_progress = {};
-        return decided;
+        return result;
     }
 
-    /// Where a packet with the tag goes; zero when it is dropped.
+    /// Routes a packet with the tag; returns the instance that got it, zero if
+    /// it was dropped.
     std::uint64_t go_on(std::uint64_t flow, std::uint64_t tag)
     {
-        effect const decided = this->pass(
+        effect const result = this->pass(
             flow, packet_phase::ongoing, static_cast<std::uint32_t>(tag));
-        cr_expect(!std::holds_alternative<refuse_opening>(decided));
-        return instance_of(decided);
+        cr_expect(!std::holds_alternative<refuse_opening>(result));
+        return instance_of(result);
     }
 
-    /// Opens a flow and has the caller confirm it; gives the instance.
+    /// Opens a flow and has the caller confirm it; returns the instance.
     std::uint64_t establish(std::uint64_t flow)
     {
         auto const instance = this->open(flow);
@@ -245,8 +251,8 @@
     }
 
     /// Has callers confirm openings that this VM placed, as they do soon after
-    /// its start, and end their flows. Precondition: the port's pool has a
-    /// ready upstream.
+    /// its start, and reset their flows, so that the VM retries openings.
+    /// Precondition: the port's pool has a ready upstream.
     void see_confirmations(std::uint16_t port = known_port)
     {
         constexpr std::uint64_t first_flow = 60'000;
@@ -260,15 +266,15 @@
         }
     }
 
-    /// Where effects that come without a packet are kept for `take`.
+    /// The effects that are no packet effects, kept for `take`.
     effect_list& others()
     {
-        return this->kept;
+        return this->other_effects;
     }
 
-    static std::uint64_t instance_of(effect const& decided)
+    static std::uint64_t instance_of(effect const& result)
     {
-        auto const* const sent = std::get_if<send_tagged>(&decided);
+        auto const* const sent = std::get_if<send_tagged>(&result);
         if (sent == nullptr)
             return 0;
         cr_expect(sent->tag == tag_of(sent->target.instance));
@@ -280,29 +286,30 @@
     tag_router router{settings, make_failure_domain_id("perth"), router_seed};
 
 private:
-    /// The only packet effect; others are kept for `take`.
-    effect decide(packet_arrived const& arrived)
+    /// Returns the only packet effect; other effects are kept for `take`.
+    effect route(packet_arrived const& arrived)
     {
         effect_list effects;
         this->router.route(this->now, arrived, effects);
-        std::vector<effect> decided;
+        std::vector<effect> packet_effects;
         for (effect& item : effects)
         {
-            bool const is_of_packet =
+            bool const is_packet_effect =
                 std::holds_alternative<send_tagged>(item) ||
                 std::holds_alternative<refuse_opening>(item) ||
                 std::holds_alternative<drop_packet>(item);
-            (is_of_packet ? decided : this->kept).push_back(std::move(item));
+            (is_packet_effect ? packet_effects : this->other_effects)
+                .push_back(std::move(item));
         }
-        cr_assert_eq(decided.size(), 1);
-        return decided.front();
+        cr_assert_eq(packet_effects.size(), 1);
+        return packet_effects.front();
     }
 
     static constexpr std::uint8_t opening_bytes[] = {1, 2, 3};
 
     flow_progress next_progress;
     duration next_waited{};
-    effect_list kept;
+    effect_list other_effects;
     std::uint32_t packets = 0;
 };
 
--- a/tests/tagging/test_tagging.cpp
+++ b/tests/tagging/test_tagging.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-bool is_dropped(effect const& decided, drop_reason reason)
+bool is_dropped(effect const& result, drop_reason reason)
 {
-    auto const* const dropped = std::get_if<drop_packet>(&decided);
+    auto const* const dropped = std::get_if<drop_packet>(&result);
     return dropped != nullptr && dropped->reason == reason;
 }
 
-bool is_refused(effect const& decided)
+bool is_refused(effect const& result)
 {
-    auto const* const refused = std::get_if<refuse_opening>(&decided);
+    auto const* const refused = std::get_if<refuse_opening>(&result);
     return refused != nullptr && refused->style == refusal_style::reset &&
            refused->reason == refusal_reason::no_healthy_upstream;
 }
@@ -26,8 +26,8 @@
 
 Test(tagging, new_flows_spread_by_load)
 {
-    // Symptom: one host is full while others idle. Sequence: flows open one
-    // after the other. Cause: flows or slots are not counted.
+    // Symptom: one upstream is full while others are idle. Sequence: flows are
+    // opened one after the other. Cause: flows or slots are not counted.
     auto large = make_upstream(3);
     large.slots = 8;
     bench vm({make_upstream(1), make_upstream(2), large});
@@ -39,18 +39,19 @@
         cr_expect_leq(std::abs(flows[instance] - expected), 1);
 }
 
-Test(tagging, a_flow_that_was_reset_counts_no_more)
+Test(tagging, reset_flows_are_no_longer_counted)
 {
-    // Symptom: an upstream gets no flows though it is idle. Sequence: callers
-    // reset their flows there. Cause: they are counted until they expire.
+    // Symptom: an upstream gets no flows although it is idle. Sequence: callers
+    // reset their flows to it. Cause: these flows are counted until they
+    // expire.
     bench vm({make_upstream(1), make_upstream(2)});
-    std::vector<std::uint64_t> at_first;
+    std::vector<std::uint64_t> flows_at_first;
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
     {
         if (vm.establish(flow) == 1)
-            at_first.push_back(flow);
+            flows_at_first.push_back(flow);
     }
-    for (std::uint64_t const flow : at_first)
+    for (std::uint64_t const flow : flows_at_first)
         vm.pass(flow, packet_phase::reset, 1);
     for (std::uint64_t flow = 101; flow <= 105; ++flow)
         cr_expect_eq(vm.establish(flow), 1);
@@ -58,9 +59,9 @@
 
 Test(tagging, draining_upstreams_get_no_new_flow)
 {
-    // Symptom: requests are cut when a host ends as planned. Sequence: it
-    // reports that it drains; flows open, also when nothing else is left.
-    // Cause: it still counts as the last resort.
+    // Symptom: requests are cut off when an upstream is stopped as planned.
+    // Sequence: it reports that it is draining; flows are opened, also when it
+    // is the only upstream left. Cause: it is still used as the last resort.
     auto draining = make_upstream(1);
     draining.is_draining = true;
     bench vm({draining, make_upstream(2)});
@@ -74,9 +75,9 @@
 Test(tagging, missing_upstreams_are_a_last_resort_for_a_while)
 {
     // Symptom: no request is served after the registry lost its entries, or
-    // flows go to a host that is gone. Sequence: the store was down, entries
-    // expired and come back. Cause: a missing entry taken at once, or never,
-    // for a host that has ended.
+    // flows go to an upstream that was stopped. Sequence: the store was down;
+    // entries expire and come back later. Cause: an upstream whose entry is
+    // missing is considered stopped at once, or never.
     bench vm({make_upstream(1), make_upstream(2)});
     vm.list({make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
@@ -91,12 +92,13 @@
     cr_expect_eq(vm.open(33), 1);
 }
 
-Test(tagging, a_copy_moves_on_only_when_its_opening_was_unanswered)
+Test(tagging, retransmissions_move_on_only_after_unanswered_openings)
 {
-    // Symptom: a caller's attempt ends unserved, though hosts are free.
-    // Sequence: the host that got its opening has crashed; a copy follows.
-    // Cause: the copy goes to the same host. Or, the other way round: a host
-    // passes for dead since a copy overtook its answer.
+    // Symptom: a caller's attempt fails although upstreams are free. Sequence:
+    // the upstream that got its opening has crashed; a retransmission follows.
+    // Cause: the retransmission goes to the same upstream. The opposite fault:
+    // an upstream is considered dead because a retransmission arrived before
+    // its answer.
     struct table_entry
     {
         duration after;
@@ -121,31 +123,33 @@
     }
 }
 
-Test(tagging, a_copy_moves_on_also_when_all_are_avoided)
+Test(tagging, retransmissions_move_on_when_all_upstreams_are_avoided)
 {
-    // Symptom: all three tries of an opening go to one dead host. Sequence:
-    // every host of the pool has left an opening unanswered lately. Cause:
-    // avoidance alone, which then spares none, keeps the copy away.
+    // Symptom: all three attempts of an opening go to one dead upstream.
+    // Sequence: every upstream of the pool has recently left an opening
+    // unanswered. Cause: only avoidance keeps retransmissions away from the
+    // silent upstream, and it has no effect when all upstreams are avoided.
     bench vm({make_upstream(1), make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 10; ++flow)
     {
-        std::uint64_t before = vm.open(flow);
-        for (int copies = 2; copies > 0; --copies)
+        std::uint64_t previous = vm.open(flow);
+        for (int retransmissions = 2; retransmissions > 0; --retransmissions)
         {
             vm.now += 200ms;
             auto const next = vm.open(flow);
-            cr_expect_neq(next, before);
-            before = next;
+            cr_expect_neq(next, previous);
+            previous = next;
         }
     }
 }
 
-Test(tagging, a_pause_of_the_vm_blames_no_upstream)
+Test(tagging, a_process_pause_marks_no_upstream_unanswered)
 {
-    // Symptom: after a pause a VM avoids all its hosts. Sequence: it stands
-    // still for a second; the opening and its copies wait in its socket and
-    // are handled at one moment. Cause: the copies' number, or the callers'
-    // time, taken for the host's delay.
+    // Symptom: after a pause a VM avoids all its upstreams. Sequence: its
+    // process is paused for a second; an opening and its retransmissions are
+    // queued in its socket and handled at the same time. Cause: the number of
+    // retransmissions, or the callers' waiting time, is attributed to the
+    // upstream.
     bench vm({make_upstream(1), make_upstream(2)});
     vm.wait(1s);
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
@@ -156,13 +160,14 @@
     }
 }
 
-Test(tagging, openings_that_waited_while_the_vm_stood_still_are_dropped)
+Test(tagging, openings_queued_during_a_process_pause_are_dropped)
 {
     // Symptom: flows are reset by an upstream that does not hold them, seconds
-    // after a VM was paused (a soak, seed 17). Sequence: an opening waits at
-    // the paused VM; its copy reaches another VM, which places it; the VM goes
-    // on and places the opening as well; the fabric sends the flow back to it.
-    // Cause: an opening placed though its copy may be elsewhere.
+    // after a VM was paused (a soak, seed 17). Sequence: an opening is queued
+    // at the paused VM; its retransmission reaches another VM, which places it;
+    // the paused VM resumes and places the opening as well; the fabric sends
+    // the flow back to it. Cause: an opening is placed although another VM may
+    // have placed its retransmission.
     struct table_entry
     {
         char const* name;
@@ -171,35 +176,36 @@
         bool is_dropped;
     };
     table_entry const table[] = {
-        {"waited through a long pause", 2s, 900ms, true},
-        {"came late in the pause, before its copy", 2s, 150ms, false},
+        {"queued through a long pause", 2s, 900ms, true},
+        {"arrived late in the pause, before its retransmission", 2s, 150ms,
+         false},
         {"short pause", 400ms, 350ms, false},
         {"busy, no pause", 50ms, 300ms, false},
     };
     for (auto const& [name, pause, waited, should_be_dropped] : table)
     {
         bench vm({make_upstream(1), make_upstream(2)});
-        // It has known the registry for longer than anything waits here.
+        // The registry was complete before any opening here was queued.
         for (int ticks = 0; ticks < 10; ++ticks)
             vm.wait(100ms);
         vm.now += pause;
-        auto const decided = vm.open_late(7, waited);
+        auto const result = vm.open_late(7, waited);
         cr_expect_eq(
-            is_dropped(decided, drop_reason::view_expired), should_be_dropped,
+            is_dropped(result, drop_reason::view_expired), should_be_dropped,
             "%s", name);
-        // What comes after the pause is placed.
+        // An opening that arrives after the pause is placed.
         vm.wait(100ms);
         cr_expect_neq(vm.open(8), 0, "%s", name);
     }
 }
 
-Test(tagging, openings_that_waited_for_the_registry_are_placed_unless_copied)
+Test(tagging, openings_queued_for_the_registry_are_placed_unless_retransmitted)
 {
-    // Symptom: after a start of all VMs, callers wait for their next copy, or
-    // flows are reset by an upstream that does not hold them. Sequence:
-    // openings arrive while a VM that has just started learns the registry.
-    // Cause: what came before was dropped; or placed, though its copy reached
-    // another VM.
+    // Symptom: after a start of all VMs, callers wait for their next
+    // retransmission, or flows are reset by an upstream that does not hold
+    // them. Sequence: openings arrive while a VM that has just started reads
+    // the registry. Cause: earlier openings are dropped; or they are placed
+    // although their retransmission reached another VM.
     struct table_entry
     {
         duration waited;
@@ -208,19 +214,20 @@
     table_entry const table[] = {{20ms, false}, {190ms, false}, {200ms, true}};
     for (auto const& [waited, should_be_dropped] : table)
     {
-        // Its registry has just come into force.
+        // The registry has just come into force.
         bench vm({make_upstream(1), make_upstream(2)});
-        auto const decided = vm.open_late(7, waited);
+        auto const result = vm.open_late(7, waited);
         cr_expect_eq(
-            is_dropped(decided, drop_reason::view_expired), should_be_dropped);
+            is_dropped(result, drop_reason::view_expired), should_be_dropped);
     }
 }
 
-Test(tagging, nothing_from_before_a_pause_is_offered_again)
+Test(tagging, openings_from_before_a_pause_are_not_retried)
 {
-    // Symptom: as above. Sequence: an opening was placed right before a pause,
-    // and confirmed meanwhile by way of another VM. Cause: its silence here
-    // taken for the upstream's.
+    // Symptom: flows are reset by an upstream that does not hold them.
+    // Sequence: an opening is placed right before a pause, and its confirmation
+    // reaches another VM during the pause. Cause: the missing confirmation is
+    // attributed to the upstream.
     bench vm({make_upstream(1), make_upstream(2)});
     vm.wait(100ms);
     vm.open(7);
@@ -231,11 +238,11 @@
     cr_expect(vm.take<check_upstream>().empty());
 }
 
-Test(tagging, the_only_upstream_is_asked_again)
+Test(tagging, the_only_upstream_is_retried)
 {
-    // Symptom: a pool of one host is refused after one lost packet. Sequence:
-    // its answer is lost; a copy follows. Cause: the host that did not answer
-    // is left out though nothing else is there.
+    // Symptom: a pool of one upstream refuses openings after one lost packet.
+    // Sequence: the upstream's answer is lost; a retransmission follows. Cause:
+    // the silent upstream is excluded although it is the only one.
     bench vm({make_upstream(1)});
     cr_expect_eq(vm.open(7), 1);
     vm.now += 200ms;
@@ -245,9 +252,9 @@
 
 Test(tagging, tagged_packets_follow_their_upstream)
 {
-    // Symptom: open flows break when a host drains or its entry expires.
-    // Sequence: as in the table. Cause: tags looked up among the upstreams
-    // that take new flows, or forgotten with the entry.
+    // Symptom: established flows break when an upstream drains or its entry
+    // expires. Sequence: see the table. Cause: tags are looked up only among
+    // the upstreams that get new flows, or are removed with the entry.
     auto draining = make_upstream(1);
     draining.is_draining = true;
     struct table_entry
@@ -261,16 +268,16 @@
     table_entry const table[] = {
         {"ready", {make_upstream(1), make_upstream(2)}, 1h, 1},
         {"draining", {draining, make_upstream(2)}, 1h, 1},
-        {"gone, just now", {make_upstream(2)}, 0s, 1},
-        {"gone, at the end", {make_upstream(2)}, retention, 1},
-        {"gone, forgotten", {make_upstream(2)}, retention + 2s, 0},
+        {"removed just now", {make_upstream(2)}, 0s, 1},
+        {"removed, end of retention", {make_upstream(2)}, retention, 1},
+        {"removed, after retention", {make_upstream(2)}, retention + 2s, 0},
     };
     for (auto const& [name, listed, after, expected] : table)
     {
         bench vm({make_upstream(1), make_upstream(2)});
         vm.list(listed);
         vm.wait(after);
-        // One flow opened through another VM, all phases of its packets.
+        // Packets in all phases of one flow that another VM placed.
         for (auto const phase :
              {packet_phase::ongoing, packet_phase::closing,
               packet_phase::reset})
@@ -283,9 +290,9 @@
 
 Test(tagging, an_unknown_tag_is_dropped)
 {
-    // Symptom: a caller gets a reset that its host did not send. Sequence: a
-    // VM that just started does not know the host yet. Cause: its ignorance
-    // taken for the flow's end.
+    // Symptom: a caller gets a reset that its upstream did not send. Sequence:
+    // a VM that has just started does not know the upstream yet. Cause: the VM
+    // treats a flow with an unknown tag as closed.
     bench vm({make_upstream(1)});
     for (auto const phase :
          {packet_phase::ongoing, packet_phase::closing, packet_phase::reset})
@@ -296,22 +303,23 @@
     }
 }
 
-Test(tagging, an_address_that_is_used_again_is_not_the_flows_upstream)
+Test(tagging, a_reused_address_is_not_the_flows_upstream)
 {
-    // Symptom: a host of another service gets a flow's packets. Sequence: a
-    // host ends, its address is given to a new one, a packet of the old flow
-    // arrives. Cause: the flow's host known by its address alone.
+    // Symptom: an upstream of another service gets a flow's packets. Sequence:
+    // an upstream stops, its address is assigned to a new one, and a packet of
+    // the old flow arrives. Cause: the flow's upstream is identified by its
+    // address alone.
     bench vm({make_upstream(1)});
     vm.establish(7);
     auto other = make_upstream(9, "other");
     other.address = make_upstream(1).address;
     vm.list({other});
-    // Nobody holds the flow any more, so nobody gets its packets.
-    effect const decided = vm.pass(7, packet_phase::ongoing, 1);
-    cr_expect(is_dropped(decided, drop_reason::upstream_unreachable));
+    // No upstream holds the flow any more, so none gets its packets.
+    effect const result = vm.pass(7, packet_phase::ongoing, 1);
+    cr_expect(is_dropped(result, drop_reason::upstream_unreachable));
 
-    // A VM that learned of both at once cannot tell which one lives. What it
-    // passes on names the flow's host.
+    // A VM that receives both entries at once cannot tell which upstream is
+    // alive. The packet that it forwards names the flow's upstream.
     bench fresh({make_upstream(1), other});
     effect const passed = fresh.pass(7, packet_phase::ongoing, 1);
     auto const* const sent = std::get_if<send_tagged>(&passed);
@@ -322,9 +330,9 @@
 
 Test(tagging, split_routes_get_their_shares)
 {
-    // Symptom: a split of 1 to 3 is served otherwise, or copies of one opening
-    // reach two services. Sequence: many flows open, at two VMs. Cause: the
-    // pool drawn anew for each packet or by each VM.
+    // Symptom: a split of 1 to 3 has another ratio, or retransmissions of one
+    // opening reach two services. Sequence: many flows are opened at two VMs.
+    // Cause: the pool is drawn again for each packet or by each VM.
     bench first({make_upstream(1, "main"), make_upstream(2, "other")});
     bench second({make_upstream(1, "main"), make_upstream(2, "other")});
     constexpr int flows = 4000;
@@ -342,7 +350,7 @@
     cr_expect_leq(std::abs(at_main - flows / 4), 110, "%d", at_main);
 }
 
-Test(tagging, openings_that_nobody_may_take)
+Test(tagging, openings_without_route_or_upstream_are_not_placed)
 {
     bench const unlisted;
     cr_expect(unlisted.router.is_informed());
@@ -358,9 +366,9 @@
 
 Test(tagging, flows_beyond_the_bound_are_routed)
 {
-    // Symptom: memory grows until the process is killed, or no flow opens any
-    // more. Sequence: openings flood a VM. Cause: no bound, or one that stops
-    // the service.
+    // Symptom: memory grows until the process is killed, or no flow can be
+    // opened any more. Sequence: a VM is flooded with openings. Cause: the
+    // table has no bound, or flows beyond the bound are not routed.
     tagging_settings few;
     few.maximum_flows = 10;
     bench vm({make_upstream(1)}, few);
@@ -371,12 +379,13 @@
     cr_expect_eq(vm.router.flow_count(), 0);
 }
 
-Test(tagging, a_copy_does_not_outlive_its_route_or_a_draining)
+Test(tagging, retransmissions_follow_changed_routes_and_draining)
 {
-    // Symptom: a request runs under a route that is gone, or reaches a host
-    // long after it said that it drains. Sequence: an opening goes out, the
-    // declarations change, the caller's copy arrives. Cause: a copy went where
-    // its opening had gone without another look.
+    // Symptom: a request is served under a removed route, or reaches an
+    // upstream long after it reported that it is draining. Sequence: an opening
+    // is placed, the declarations change, the caller's retransmission arrives.
+    // Cause: a retransmission is sent to the opening's upstream without a new
+    // check of route and upstream.
     bench vm({make_upstream(1)});
     vm.open(7);
     auto draining = make_upstream(1);
@@ -392,9 +401,9 @@
 
 Test(tagging, data_in_an_opening_goes_to_one_upstream_or_none)
 {
-    // Symptom: an offer is run twice. Sequence: its opening carries the data,
-    // nobody answers in time, its copy goes to another upstream. Cause: it was
-    // handled like an opening without data.
+    // Symptom: a request is processed twice. Sequence: its opening carries the
+    // data, no upstream answers in time, and the retransmission goes to another
+    // upstream. Cause: the opening is handled like one without data.
     bench vm({make_upstream(1), make_upstream(2)});
     cr_expect(is_dropped(
         vm.pass(7, packet_phase::opening_with_data, 0),
@@ -410,60 +419,63 @@
     cr_expect_eq(opened(), first);
 }
 
-Test(tagging, a_late_answer_of_any_upstream_that_was_asked_moves_no_flow)
+Test(tagging, late_answers_of_tried_upstreams_move_no_flow)
 {
-    // Symptom: a flow that lives is reset by an upstream that does not hold it.
-    // Sequence: three upstreams are offered one opening, as answers get lost;
-    // the caller confirms the last one. The first one repeats its answer, and
-    // the caller puts the tag of the latest packet into its own. Cause: the tag
-    // followed, though the packet goes on where the flow's last one stood.
+    // Symptom: a live flow is reset by an upstream that does not hold it.
+    // Sequence: one opening is sent to three upstreams, as answers get lost;
+    // the caller confirms the last one. The first upstream retransmits its
+    // answer, and the caller copies the tag of the latest packet into its own
+    // packets. Cause: the VM follows the tag although the packet's numbers
+    // continue the established flow.
     bench vm({make_upstream(1), make_upstream(2), make_upstream(3)});
     vm.see_confirmations();
-    std::vector<std::uint64_t> asked{vm.open(7)};
+    std::vector<std::uint64_t> tried{vm.open(7)};
     vm.advance(110ms);
-    for (auto const& again : vm.take<repeat_opening>())
-        asked.push_back(again.target.instance.value());
-    cr_assert_eq(asked.size(), 3);
-    auto const upstream = asked.back();
-    constexpr std::uint32_t expected = 0xffffff00;
-    vm.next_request_acknowledges(7, upstream, 1, expected);
-    for (auto const late : asked)
+    for (auto const& retried : vm.take<repeat_opening>())
+        tried.push_back(retried.target.instance.value());
+    cr_assert_eq(tried.size(), 3);
+    auto const upstream = tried.back();
+    constexpr std::uint32_t acknowledged = 0xffffff00;
+    vm.next_request_acknowledges(7, upstream, 1, acknowledged);
+    for (auto const late : tried)
     {
-        // The numbers wrap around meanwhile.
+        // The acknowledgement numbers wrap around here.
         auto const request =
-            vm.next_request_acknowledges(7, late, 101, expected + 1000);
+            vm.next_request_acknowledges(7, late, 101, acknowledged + 1000);
         cr_expect_eq(bench::instance_of(request), upstream);
     }
 }
 
-Test(tagging, a_late_answer_moves_no_flow_that_was_opened_elsewhere)
+Test(tagging, late_answers_move_no_flow_that_another_vm_placed)
 {
-    // Symptom: as above, as a VM joins. Sequence: one VM places the opening,
-    // the fabric hands what follows to another one. The first VM sees no
-    // confirmation and offers the opening to a second upstream, whose answer
-    // changes the tag. Cause: only the VM that placed it told such tags apart.
+    // Symptom: a live flow is reset by an upstream that does not hold it while
+    // a VM joins. Sequence: one VM places the opening, and the fabric delivers
+    // the flow's later packets to another VM. The first VM receives no
+    // confirmation and retries the opening at a second upstream, whose answer
+    // changes the tag. Cause: only the VM that placed the opening detects such
+    // a change of the tag.
     bench vm({make_upstream(1), make_upstream(2)});
     vm.next_request_acknowledges(7, 1, 1, 5000);
     auto const request = vm.next_request_acknowledges(7, 2, 101, 7000);
     cr_expect_eq(bench::instance_of(request), 1);
 }
 
-Test(tagging, ports_that_are_used_again_lead_to_the_new_flows_upstream)
+Test(tagging, reused_ports_lead_to_the_new_flows_upstream)
 {
     // Symptom: a new flow's packets reach the upstream of an old one. Sequence:
-    // a caller uses its port again, and its opening passed another VM. Cause:
-    // the old flow's upstream kept although the numbers are another flow's.
+    // a caller reuses its port, and the opening passes another VM. Cause: the
+    // old flow's upstream is kept although the numbers belong to another flow.
     bench vm({make_upstream(1), make_upstream(2)});
     vm.next_request_acknowledges(7, 1, 1, 5000);
     auto const request = vm.next_request_acknowledges(7, 2, 1, 0x80000000);
     cr_expect_eq(bench::instance_of(request), 2);
 }
 
-Test(tagging, of_two_upstreams_with_one_tag_the_first_keeps_it)
+Test(tagging, the_first_of_two_upstreams_with_one_tag_keeps_it)
 {
     // Symptom: flows of one upstream are reset by another. Sequence: two
-    // instances share the low half of their numbers. Cause: the later one
-    // took the tag over.
+    // instances have the same low half of their numbers, and thus the same tag.
+    // Cause: the later one takes over the tag.
     auto const twin = (std::uint64_t{5} << 32) + 1;
     bench vm({make_upstream(1)});
     cr_expect_eq(vm.establish(7), 1);
@@ -481,11 +493,11 @@
     vm.advance(5ms);
     vm.go_on(7, 1);
     vm.go_on(7, 1);
-    auto const seen = vm.take<observe_handshake>();
-    cr_assert_eq(seen.size(), 1);
-    cr_expect(seen.front().latency == 5ms);
-    cr_expect(seen.front().traffic == flow_class::feed);
-    // Opened through another VM: nobody here knows when.
+    auto const observed = vm.take<observe_handshake>();
+    cr_assert_eq(observed.size(), 1);
+    cr_expect(observed.front().latency == 5ms);
+    cr_expect(observed.front().traffic == flow_class::feed);
+    // Another VM placed this opening, so its latency is unknown here.
     vm.go_on(8, 1);
     cr_expect(vm.take<observe_handshake>().empty());
 }
