--- a/libraries/tagging/cold_admission.cpp
+++ b/libraries/tagging/cold_admission.cpp
@@ -15,8 +15,8 @@
 
 constexpr duration window = 1s;
 
-/// Views of the members that differ at one moment, at most.
-constexpr std::uint32_t views_at_once = 2;
+/// Largest number of different views of the members that VMs have at one time.
+constexpr std::uint32_t concurrent_views = 2;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 {
     auto const in_all = static_cast<std::uint32_t>(
         std::floor(openings_per_second * overrun + slack));
-    return {in_all, in_all / views_at_once};
+    return {in_all, in_all / concurrent_views};
 }
 
 bool cold_admission::may_open(time_point now, std::uint32_t limit) const
--- a/libraries/tagging/cold_admission.hpp
+++ b/libraries/tagging/cold_admission.hpp
@@ -12,55 +12,57 @@
 namespace cairnhead
 {
 
-/// Openings that a cold upstream bears in any span of a second.
+/// Openings that a cold upstream may get in any span of one second.
 struct cold_limit
 {
     /// From all VMs together.
     std::uint32_t in_all = 0;
-    /// From one VM that may open flows there.
+    /// From one VM that may open flows at the upstream.
     std::uint32_t from_one = 0;
 };
 
-/// The limit for an upstream that bears so many openings a second, where more
-/// by a factor and a number are allowed. No precondition. Thread safety: no
-/// shared state.
+/// Returns the limit for an upstream that can serve this many openings per
+/// second during slow start. The limit exceeds that rate by the factor
+/// `overrun` and the number `slack`. No precondition. Thread-safe, as it shares
+/// no state.
 [[nodiscard]] cold_limit
 make_cold_limit(double openings_per_second, double overrun, double slack);
 
-/// The openings of the last second that this VM sent to one upstream.
+/// Limits the openings per second that this VM sends to one upstream in slow
+/// start, by a sliding window log.
 ///
-/// Load that this answers: many callers find an upstream which has just
-/// started, and is slow at first. Counts each opening (sliding window log):
-/// with buckets twice the limit would pass around their edge. Thread safety of
-/// all methods: none.
+/// Load pattern: many callers are sent to an upstream that has just started and
+/// is slow at first. Each opening is logged, because fixed windows would let
+/// twice the limit pass around the boundary of two windows.
+/// No method has a precondition; none is thread-safe.
 class cold_admission
 {
 public:
-    /// Whether one more stays within the limit. No precondition.
+    /// Whether one more opening now is within the limit.
     [[nodiscard]] bool may_open(time_point now, std::uint32_t limit) const;
 
-    /// No precondition.
+    /// Logs an opening.
     void note_opened(time_point now);
 
 private:
     std::deque<time_point> opened_at;
 };
 
-/// Which VM opens flows at cold upstreams of its failure domain: of each
-/// upstream the first one by rendezvous hashing. Others open none there, so
-/// that the limit holds over all VMs without messages between them. While two
-/// views of the members are in use, two VMs may take themselves for the first
-/// one: each gets half of the limit.
-/// Thread safety of all methods: none.
+/// Decides which VM of a failure domain opens flows at each of its cold
+/// upstreams: the VM that ranks first for the upstream by rendezvous hashing.
+/// The other VMs open none there, so that the limit holds across all VMs
+/// without messages between them. While VMs have two different views of the
+/// members, two VMs may consider themselves first. Each VM therefore gets half
+/// of the limit. No method has a precondition; none is thread-safe.
 class appointed_opener
 {
 public:
-    /// The VMs of the failure domain that are alive, this one included; none
-    /// while this VM does not know them: then it opens no flows at cold
-    /// upstreams. No precondition.
+    /// Sets the live VMs of the failure domain, this one included. The list is
+    /// empty while this VM does not know them; it then opens no flows at cold
+    /// upstreams.
     void set_vms(vm_id self, std::span<vm_id const> vms);
 
-    /// Whether this VM is the first one for that upstream. No precondition.
+    /// Whether this VM ranks first for the upstream.
     [[nodiscard]] bool is_appointed(instance_number upstream) const;
 
 private:
--- a/libraries/tagging/connection_trial.hpp
+++ b/libraries/tagging/connection_trial.hpp
@@ -9,57 +9,60 @@
 namespace cairnhead
 {
 
-/// How connections to one address stand, the best of them if there are several.
+/// State of the connections to one address. Of several connections, the state
+/// of the one that got furthest.
 enum class connection_state : std::uint8_t
 {
-    /// Nothing came back yet.
+    /// No answer yet.
     pending,
-    /// The machine answered that nobody listens.
+    /// The machine answered that nothing listens at the port.
     refused,
     accepted,
 };
 
-/// How a trial's connections stand at one moment.
+/// States of a check's connections at one time.
 struct trial_look
 {
     connection_state suspect = connection_state::pending;
-    /// The best of all witnesses.
+    /// Of all reference upstreams, the state of the one that got furthest.
     connection_state witness = connection_state::pending;
 };
 
-/// Judges whether an upstream can be reached, from connections to it and, begun
-/// right after those, to witnesses: other upstreams that answered lately.
+/// Decides whether an upstream is reachable. It compares connections to the
+/// upstream with connections, begun right after those, to reference upstreams:
+/// other upstreams that answered recently.
 ///
-/// A VM cannot tell its own lateness from another's silence. When its link is
-/// full of documents for its peers, or it was not given the processor, every
-/// upstream looks dead: its operators would see `upstream_unreachable` for
-/// several at once, and callers would lose flows that live. So silence counts
-/// only while a witness answers: its packets left after the suspect's, by the
-/// same link, and came back to the same process. Only an upstream is a witness:
-/// where a VM nearby answers and no upstream does, it is the way to all of them
-/// that is held up, and a caller whose flow ends could go nowhere else.
-/// Thread safety of all methods: none.
+/// A VM can't tell its own delay from another's silence. When its link is full
+/// of documents for its peers, or its process gets no CPU time, every upstream
+/// looks dead: operators would see `upstream_unreachable` for several upstreams
+/// at once, and callers would lose live flows. Silence therefore counts only
+/// while a reference upstream answers, as its packets left after the suspect's,
+/// over the same link, and returned to the same process. Only upstreams serve
+/// as a reference: if a nearby VM answers and no upstream does, the path to all
+/// upstreams is at fault, and a caller whose flow ends would have no upstream
+/// to go to. Not thread-safe.
 class connection_trial
 {
 public:
-    /// Precondition: the connections to the suspect were begun first.
+    /// Precondition: the connections to the suspect were begun before those to
+    /// the reference upstreams.
     explicit connection_trial(time_point started_at);
 
-    /// What the connections show by now; nothing while it is open. No
-    /// precondition.
+    /// Returns the outcome that the connections show by now, or nothing while
+    /// the check is undecided. No precondition.
     [[nodiscard]] std::optional<connection_outcome>
     judge(time_point now, trial_look const& look);
 
-    /// When to look again. No precondition.
+    /// When to observe the connections again. No precondition.
     [[nodiscard]] time_point next_due() const;
 
 private:
     time_point started_at;
-    time_point looked_at;
-    time_point look_due_at;
-    /// When a look first showed that a witness had answered.
-    std::optional<time_point> witnessed_at;
-    bool was_held_up = false;
+    time_point observed_at;
+    time_point observation_due_at;
+    /// When an observation first showed an answer of a reference upstream.
+    std::optional<time_point> reference_answered_at;
+    bool was_paused = false;
 };
 
 } // namespace cairnhead
--- a/libraries/tagging/domain_watch.cpp
+++ b/libraries/tagging/domain_watch.cpp
@@ -11,16 +11,16 @@
 
 using std::chrono_literals::operator""s;
 
-/// One upstream may have failed; two at the same moment point to what they
-/// have in common.
-constexpr std::size_t least_silent_upstreams = 2;
+/// One silent upstream may have failed by itself. Two at the same time point to
+/// a cause that they have in common.
+constexpr std::size_t minimum_silent_upstreams = 2;
 
-/// A domain whose VMs were not heard for longer may have none, so that their
+/// A domain that sent no message for longer may have no VMs, so that their
 /// silence says nothing.
-constexpr duration recently_heard = 5s;
+constexpr duration message_lifetime = 5s;
 
-/// A domain whose VMs answered is not asked again for this long.
-constexpr duration question_period = 1s;
+/// Shortest time between two probes of a domain, also if its VMs answered.
+constexpr duration probe_interval = 1s;
 
 } // namespace
 
@@ -34,56 +34,58 @@
 {
     domain_state& state = this->domains[domain];
     state.answered_at = std::max(state.answered_at, at);
-    if (at >= state.asked_at)
-        this->revive(domain, state);
+    if (at >= state.probed_at)
+        this->mark_reachable(domain, state);
 }
 
 void domain_watch::note_heard(time_point now, failure_domain_id domain)
 {
     domain_state& state = this->domains[domain];
-    state.heard_at = now;
-    this->revive(domain, state);
+    state.message_at = now;
+    this->mark_reachable(domain, state);
 }
 
-void domain_watch::revive(failure_domain_id domain, domain_state& state)
+void domain_watch::mark_reachable(failure_domain_id domain, domain_state& state)
 {
     state.answer_deadline.reset();
     if (!std::exchange(state.is_unreachable, false))
         return;
-    this->verdicts.push_back({domain, false});
+    this->changes.push_back({domain, false});
 }
 
 bool domain_watch::may_be_unreachable(
     time_point now, failure_domain_id domain) const
 {
     auto const found = this->domains.find(domain);
-    // Whoever is in the own domain is reached whatever is cut around it.
+    // A network partition around the own domain doesn't cut this VM off from
+    // the upstreams in it.
     if (domain == this->own_domain || found == this->domains.end())
         return false;
     domain_state const& state = found->second;
-    bool const is_known_silent = state.is_unreachable || state.answer_deadline;
-    bool const was_heard =
-        state.heard_at && now < *state.heard_at + recently_heard;
-    if (is_known_silent || !was_heard)
+    bool const is_pending_or_unreachable =
+        state.is_unreachable || state.answer_deadline;
+    bool const has_recent_message =
+        state.message_at && now < *state.message_at + message_lifetime;
+    if (is_pending_or_unreachable || !has_recent_message)
         return false;
     bool const is_too_early =
         now < state.answered_at + this->settings.silence_timeout ||
-        now < state.asked_at + question_period;
-    // When nobody answers at all, it is this VM that is late or cut off.
+        now < state.probed_at + probe_interval;
+    // If no upstream answers at all, this VM itself is delayed or cut off.
     return !is_too_early && this->has_answers_elsewhere(now, domain);
 }
 
 void domain_watch::note_silent(
     time_point now, failure_domain_id domain, std::size_t silent_upstreams)
 {
-    bool const is_doubted = silent_upstreams >= least_silent_upstreams &&
+    bool const is_suspect = silent_upstreams >= minimum_silent_upstreams &&
                             this->may_be_unreachable(now, domain);
-    if (!is_doubted)
+    if (!is_suspect)
         return;
     domain_state& state = this->domains[domain];
-    state.asked_at = now;
+    state.probed_at = now;
     state.answer_deadline = now + this->settings.ask_timeout;
-    this->questions.push_back(domain);
+    this->probe_requests.push_back(domain);
 }
 
 bool domain_watch::has_answers_elsewhere(
@@ -109,7 +111,7 @@
         if (!this->has_answers_elsewhere(now, domain))
             continue;
         state.is_unreachable = true;
-        this->verdicts.push_back({domain, true});
+        this->changes.push_back({domain, true});
     }
 }
 
@@ -118,13 +120,13 @@
     for (auto& [domain, state] : this->domains)
     {
         bool const is_due =
-            state.is_unreachable && now >= state.asked_at + question_period;
+            state.is_unreachable && now >= state.probed_at + probe_interval;
         if (!is_due)
             continue;
-        // Any answer ends the verdict. Without a question nobody may speak to
-        // this VM for seconds after a cut has healed.
-        state.asked_at = now;
-        this->questions.push_back(domain);
+        // Any answer makes the domain reachable. Without a probe, this VM might
+        // receive no message for seconds after a network partition has healed.
+        state.probed_at = now;
+        this->probe_requests.push_back(domain);
     }
 }
 
@@ -148,12 +150,12 @@
 
 std::vector<failure_domain_id> domain_watch::take_questions()
 {
-    return std::exchange(this->questions, {});
+    return std::exchange(this->probe_requests, {});
 }
 
 std::vector<domain_watch::verdict> domain_watch::take_verdicts()
 {
-    return std::exchange(this->verdicts, {});
+    return std::exchange(this->changes, {});
 }
 
 } // namespace cairnhead
--- a/libraries/tagging/domain_watch.hpp
+++ b/libraries/tagging/domain_watch.hpp
@@ -9,84 +9,87 @@
 namespace cairnhead
 {
 
-/// Finds out which failure domains cannot be reached, from the callers'
-/// packets and from what the domains' VMs say.
+/// Detects which failure domains are unreachable, from callers' packets and
+/// from messages of the domains' VMs.
 ///
-/// A wrong verdict resets flows that live, so each of these must hold: some
-/// of the domain's upstreams are silent, none of them answered for a while,
-/// upstreams elsewhere did, VMs of the domain were heard before, and none of
-/// them answers when asked.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// A false detection resets live flows, so each of these conditions must hold:
+/// some of the domain's upstreams are silent, none of them answered for a
+/// while, upstreams in other domains did, this VM received messages from the
+/// domain's VMs before, and none of those VMs answers a probe. No method has a
+/// precondition, but the constructor has one. None is thread-safe; all run on
+/// the reducer's thread.
 class domain_watch
 {
 public:
     /// Precondition: the settings outlive the object.
     domain_watch(tagging_settings const& settings, failure_domain_id own);
 
-    /// An upstream of the domain answered a caller at that moment, or later.
-    /// No precondition.
+    /// Records that an upstream of the domain answered a caller at `at` or
+    /// later.
     void note_answered(time_point at, failure_domain_id domain);
 
-    /// A VM of the domain said something. No precondition.
+    /// Records a message from a VM of the domain.
     void note_heard(time_point now, failure_domain_id domain);
 
-    /// Whether an upstream's silence may lead to a question, so that the silent
-    /// ones of its domain are worth counting. No precondition.
+    /// Whether an upstream's silence may lead to a probe of its domain, so that
+    /// the caller has to count the domain's silent upstreams.
     [[nodiscard]] bool
     may_be_unreachable(time_point now, failure_domain_id domain) const;
 
-    /// A caller had to repeat itself; that many upstreams of the domain are
-    /// silent now. No precondition.
+    /// Records that a caller retransmitted to an upstream of the domain, of
+    /// which `silent_upstreams` are silent now.
     void note_silent(
         time_point now, failure_domain_id domain, std::size_t silent_upstreams);
 
-    /// Has the VMs of unreachable domains asked again. To be called every
-    /// second or so. No precondition.
+    /// Requests new probes of the VMs of unreachable domains. To be called
+    /// about once a second.
     void ask_again(time_point now);
 
-    /// Draws conclusions that are due. No precondition.
+    /// Marks the domains as unreachable whose VMs did not answer a probe by the
+    /// deadline.
     void advance(time_point now);
 
-    /// When `advance` should be called, if at all. No precondition.
+    /// When `advance` should be called next, if at all.
     [[nodiscard]] std::optional<time_point> next_due() const;
 
-    /// Whether the domain cannot be reached. No precondition.
+    /// Whether the domain is considered unreachable.
     [[nodiscard]] bool is_unreachable(failure_domain_id domain) const;
 
-    /// Whose VMs are to be asked, since the last call. No precondition.
+    /// Returns the domains whose VMs are to be probed, added since the last
+    /// call.
     [[nodiscard]] std::vector<failure_domain_id> take_questions();
 
-    /// A verdict that changed.
+    /// A domain that became unreachable or reachable.
     struct verdict
     {
         failure_domain_id domain;
         bool is_unreachable = false;
     };
 
-    /// Verdicts that changed since the last call. No precondition.
+    /// Returns the changes since the last call.
     [[nodiscard]] std::vector<verdict> take_verdicts();
 
 private:
     struct domain_state
     {
         time_point answered_at;
-        std::optional<time_point> heard_at;
-        /// Set while its VMs are being asked.
+        std::optional<time_point> message_at;
+        /// Set while a probe of the domain's VMs is unanswered.
         std::optional<time_point> answer_deadline;
-        time_point asked_at;
+        time_point probed_at;
         bool is_unreachable = false;
     };
 
     [[nodiscard]] bool
     has_answers_elsewhere(time_point now, failure_domain_id domain) const;
-    void revive(failure_domain_id domain, domain_state& state);
+    void mark_reachable(failure_domain_id domain, domain_state& state);
 
     tagging_settings const& settings;
     failure_domain_id own_domain;
-    /// Ordered, as the same events must give the same effects.
+    /// An ordered map, as the same events must give the same effects.
     std::map<failure_domain_id, domain_state> domains;
-    std::vector<failure_domain_id> questions;
-    std::vector<verdict> verdicts;
+    std::vector<failure_domain_id> probe_requests;
+    std::vector<verdict> changes;
 };
 
 } // namespace cairnhead
--- a/libraries/tagging/queue_delay_control.cpp
+++ b/libraries/tagging/queue_delay_control.cpp
@@ -12,25 +12,26 @@
 
 constexpr duration update_period = 50ms;
 
-/// With fewer, one slow request would pass for a queue.
-constexpr std::uint32_t fewest_answers = 3;
-
-/// Without answers for so long nothing is known of the queue.
-constexpr duration memory = 500ms;
-
-/// Part of the target latency that requests may wait and work, in the mean.
-/// Times spread: with a mean of little over half of the target few are beyond
-/// the whole of it.
-constexpr double reference = 0.56;
-
-/// What a delay of one target above the reference, one as far below it, and one
-/// that grew by one target add to the share at each update.
-constexpr double weight_of_excess = 0.6;
-constexpr double weight_of_shortfall = 0.2;
-constexpr double weight_of_growth = 0.4;
-
-/// Some are always let through: they show that the queue is gone. Callers try
-/// again at once, so that few may be.
+/// With fewer answers, one slow request would look like a queue.
+constexpr std::uint32_t minimum_answers = 3;
+
+/// After this long without an answer the queue delay is unknown.
+constexpr duration sample_lifetime = 500ms;
+
+/// Mean time of requests, queueing and processing together, that the control
+/// aims for, as a multiple of the target latency. The times vary: with a mean
+/// of little over half of the target, few exceed the target.
+constexpr double reference_delay = 0.56;
+
+/// Gains of the control: change of the share at each update, per target latency
+/// by which the delay is above the reference, is below it, and has grown since
+/// the update before.
+constexpr double gain_above_reference = 0.6;
+constexpr double gain_below_reference = 0.2;
+constexpr double gain_of_growth = 0.4;
+
+/// Some openings are always admitted, as their answers show when the queue is
+/// empty again. They are few, as refused callers retry at once.
 constexpr double largest_share = 0.98;
 
 } // namespace
@@ -55,7 +56,7 @@
 
 bool queue_delay_control::is_idle(time_point now) const
 {
-    return now > this->latest_answer_at + memory;
+    return now > this->latest_answer_at + sample_lifetime;
 }
 
 void queue_delay_control::update(time_point now)
@@ -67,16 +68,17 @@
         this->next_update_at = now + update_period;
         return;
     }
-    if (this->answers < fewest_answers)
+    if (this->answers < minimum_answers)
         return;
     double const before = this->delay;
     this->delay = this->delay_sum / this->answers;
     this->delay_sum = 0;
     this->answers = 0;
-    double const excess = this->delay - reference;
-    double const weight = excess > 0 ? weight_of_excess : weight_of_shortfall;
+    double const excess = this->delay - reference_delay;
+    double const gain =
+        excess > 0 ? gain_above_reference : gain_below_reference;
     double const change =
-        weight * excess + weight_of_growth * (this->delay - before);
+        gain * excess + gain_of_growth * (this->delay - before);
     this->refused_share =
         std::clamp(this->refused_share + change, 0.0, largest_share);
 }
--- a/libraries/tagging/tagged_upstreams.cpp
+++ b/libraries/tagging/tagged_upstreams.cpp
@@ -15,18 +15,19 @@
 
 constexpr double whole_permille = 1000.0;
 
-/// More doublings than these cannot matter, and would overflow.
+/// Further doublings of the back-off make no difference, and would overflow.
 constexpr std::uint32_t maximum_doublings = 16;
 
-upstream_place place_of(tagged_upstream const& upstream)
+upstream_place endpoint_of(tagged_upstream const& upstream)
 {
     return {upstream.registered.address, upstream.registered.port};
 }
 
-/// Whether the first came to their address after the second. Where a VM learns
-/// of both at once it cannot tell; and starts that tell when they began must
-/// agree.
-bool succeeds(tagged_upstream const& later, tagged_upstream const& earlier)
+/// Whether `later` took over the address that both upstreams have registered.
+/// False if `later` is missing from the registry, if one registry update listed
+/// both (their order is unknown then), or if their incarnations contradict the
+/// order of the updates.
+bool takes_over(tagged_upstream const& later, tagged_upstream const& earlier)
 {
     bool const is_registered = !later.missing_since;
     bool const was_learned_later = later.learned_with > earlier.learned_with;
@@ -42,10 +43,10 @@
 
 tagged_upstreams::tagged_upstreams(
     tagging_settings const& chosen,
-    domain_watch const& watched,
+    domain_watch const& reachability,
     failure_domain_id own,
     std::uint64_t seed)
-    : settings(chosen), domains(watched), own_domain(own), random(seed)
+    : settings(chosen), domains(reachability), own_domain(own), random(seed)
 {
 }
 
@@ -54,9 +55,10 @@
     upstream_listing const& before,
     upstream_listing const& listing)
 {
-    ++this->updates;
-    // Both are sorted by instance. A listing differs from the last one in a
-    // few entries of thousands, and small VMs feel a look at each of those.
+    ++this->update_count;
+    // Both listings are sorted by instance. A new listing differs from the
+    // previous one in a few entries out of thousands, and processing every
+    // entry is a noticeable load on small VMs.
     auto old = before.upstreams.begin();
     std::vector<registered_upstream const*> changed;
     for (registered_upstream const& registered : listing.upstreams)
@@ -64,19 +66,20 @@
         while (old != before.upstreams.end() &&
                old->instance < registered.instance)
             this->mark_missing(now, (old++)->instance);
-        bool const is_known = old != before.upstreams.end() &&
-                              old->instance == registered.instance;
-        if (!is_known || *old != registered)
+        bool const was_listed = old != before.upstreams.end() &&
+                                old->instance == registered.instance;
+        if (!was_listed || *old != registered)
             changed.push_back(&registered);
-        old += is_known ? 1 : 0;
+        old += was_listed ? 1 : 0;
     }
     for (; old != before.upstreams.end(); ++old)
         this->mark_missing(now, old->instance);
-    // Whoever left first gives its tag free.
+    // Upstreams that left were marked above, so that their tags are free for
+    // those that registered.
     update_outcome outcome;
     for (registered_upstream const* const registered : changed)
-        this->register_one(now, *registered, outcome);
-    this->register_waiting(now, outcome);
+        this->register_upstream(now, *registered, outcome);
+    this->register_waiting_upstreams(now, outcome);
     return outcome;
 }
 
@@ -84,30 +87,31 @@
 {
     this->waiting_for_tag.erase(instance);
     tagged_upstream* const known = this->find(tag_of(instance));
-    bool const is_meant = known != nullptr && !known->missing_since &&
-                          known->registered.instance == instance;
-    if (is_meant)
+    bool const is_same_instance = known != nullptr && !known->missing_since &&
+                                  known->registered.instance == instance;
+    if (is_same_instance)
         known->missing_since = now;
 }
 
-void tagged_upstreams::register_waiting(time_point now, update_outcome& outcome)
+void tagged_upstreams::register_waiting_upstreams(
+    time_point now, update_outcome& outcome)
 {
     auto const waiting = std::exchange(this->waiting_for_tag, {});
     for (auto const& [instance, registered] : waiting)
-        this->register_one(now, registered, outcome);
+        this->register_upstream(now, registered, outcome);
 }
 
-void tagged_upstreams::register_one(
+void tagged_upstreams::register_upstream(
     time_point now,
     registered_upstream const& registered,
     update_outcome& outcome)
 {
     tagged_upstream* known = this->find(tag_of(registered.instance));
-    // Two upstreams with one tag would get each other's packets, and reset
-    // flows that they do not hold. The one that was there keeps the tag, the
-    // other gets no flows while it is there.
-    // NOTE: VMs that learn of both at the same moment agree, as listings are
-    // sorted; one that joined in between may not.
+    // Two upstreams with the same tag would receive each other's packets and
+    // reset flows that they do not hold. The upstream that had the tag first
+    // keeps it; the other gets no flows until that one leaves.
+    // NOTE: VMs that learn of both in the same update agree, as listings are
+    // sorted. A VM that joined between the two may disagree.
     bool const is_taken = known != nullptr && !known->missing_since &&
                           known->registered.instance != registered.instance;
     if (is_taken)
@@ -123,62 +127,65 @@
         known->cold_until =
             now + std::chrono::milliseconds(registered.cold_milliseconds);
         known->registered = registered;
-        known->learned_with = this->updates;
-        this->note_address(*known, outcome);
+        known->learned_with = this->update_count;
+        this->check_address_takeover(*known, outcome);
         this->add_to_index(this->upstreams.size() - 1);
         return;
     }
-    bool const is_other = known->registered.instance != registered.instance;
-    bool const is_pool_new = known->registered.pool != registered.pool;
+    bool const is_other_instance =
+        known->registered.instance != registered.instance;
+    bool const is_pool_changed = known->registered.pool != registered.pool;
     bool const is_restarted =
         known->registered.instance == registered.instance &&
         known->registered.life != registered.life;
     known->registered = registered;
     known->domain = make_failure_domain_id(registered.failure_domain);
     known->missing_since.reset();
-    if (is_other)
+    if (is_other_instance)
     {
-        known->learned_with = this->updates;
-        this->note_address(*known, outcome);
+        known->learned_with = this->update_count;
+        this->check_address_takeover(*known, outcome);
     }
     if (is_restarted)
     {
-        forget_earlier_life(now, *known);
+        reset_after_restart(now, *known);
         outcome.restarted.push_back(known->tag);
     }
-    if (is_pool_new || is_other)
+    if (is_pool_changed || is_other_instance)
         this->rebuild_index();
 }
 
-void tagged_upstreams::note_address(
+void tagged_upstreams::check_address_takeover(
     tagged_upstream const& registered, update_outcome& outcome)
 {
-    auto const earlier = this->by_place.find(place_of(registered));
-    if (earlier == this->by_place.end())
+    auto const earlier = this->by_endpoint.find(endpoint_of(registered));
+    if (earlier == this->by_endpoint.end())
         return;
     tagged_upstream const* const before = this->find(earlier->second);
     if (before == nullptr || before == &registered)
         return;
-    if (succeeds(registered, *before))
+    if (takes_over(registered, *before))
         outcome.succeeded.push_back(before->tag);
 }
 
 bool tagged_upstreams::is_succeeded(tagged_upstream const& upstream) const
 {
-    auto const last = this->by_place.find(place_of(upstream));
-    if (last == this->by_place.end() || last->second == upstream.tag)
+    auto const newest = this->by_endpoint.find(endpoint_of(upstream));
+    if (newest == this->by_endpoint.end() || newest->second == upstream.tag)
         return false;
-    tagged_upstream const* const other = this->find(last->second);
-    return other != nullptr && succeeds(*other, upstream);
+    tagged_upstream const* const other = this->find(newest->second);
+    return other != nullptr && takes_over(*other, upstream);
 }
 
-void tagged_upstreams::forget_earlier_life(
+void tagged_upstreams::reset_after_restart(
     time_point now, tagged_upstream& restarted)
 {
-    // It holds none of the flows that it had, is cold again, and was never
-    // silent. Without this a restart would be avoided for what its earlier
-    // start left unanswered, for up to eight seconds, and would get its whole
-    // share while it is slow. The flows are counted down by their table.
+    // A restarted upstream holds none of its earlier flows, is in slow start
+    // again, and has not been silent yet. Without this reset it would be
+    // avoided for up to eight seconds for openings that its earlier
+    // incarnation left unanswered, and would then get its full share of flows
+    // while it is still slow. `flows` isn't reset here: it
+    // decreases as the table of flows removes them.
     restarted.failures = 0;
     restarted.avoided_until = {};
     restarted.reach = {};
@@ -190,32 +197,32 @@
 {
     tagged_upstream const& known = this->upstreams[index];
     this->by_tag[known.tag] = index;
-    auto const [last, is_first] =
-        this->by_place.try_emplace(place_of(known), known.tag);
-    tagged_upstream const* const before = this->find(last->second);
+    auto const [newest, is_first] =
+        this->by_endpoint.try_emplace(endpoint_of(known), known.tag);
+    tagged_upstream const* const before = this->find(newest->second);
     if (before == nullptr || before->learned_with < known.learned_with)
-        last->second = known.tag;
+        newest->second = known.tag;
     this->pools[known.registered.pool].push_back(index);
 }
 
 void tagged_upstreams::forget_old(time_point now)
 {
-    auto const forgotten = std::erase_if(
+    auto const removed = std::erase_if(
         this->upstreams,
-        [&](tagged_upstream const& known)
+        [&](tagged_upstream const& upstream)
         {
-            return known.missing_since &&
-                   now >
-                       *known.missing_since + this->settings.upstream_retention;
+            return upstream.missing_since &&
+                   now > *upstream.missing_since +
+                             this->settings.upstream_retention;
         });
-    if (forgotten > 0)
+    if (removed > 0)
         this->rebuild_index();
 }
 
 void tagged_upstreams::rebuild_index()
 {
     this->by_tag.clear();
-    this->by_place.clear();
+    this->by_endpoint.clear();
     this->pools.clear();
     for (std::size_t index = 0; index < this->upstreams.size(); ++index)
         this->add_to_index(index);
@@ -236,30 +243,29 @@
                                        : &this->upstreams[found->second];
 }
 
-upstream_belief tagged_upstreams::belief_in(
-    time_point now, tagged_upstream const& upstream) const
+upstream_belief
+tagged_upstreams::view_of(time_point now, tagged_upstream const& upstream) const
 {
-    upstream_belief held;
-    held.verdict = this->verdict_on(now, upstream);
-    held.load_permille = static_cast<std::uint32_t>(
+    upstream_belief view;
+    view.verdict = this->verdict_on(now, upstream);
+    view.load_permille = static_cast<std::uint32_t>(
         std::lround(this->load_of(now, upstream) * whole_permille));
-    held.unanswered = upstream.failures;
+    view.unanswered = upstream.failures;
     if (upstream.reach.answered_at() != time_point())
-        held.answered_at = upstream.reach.answered_at();
-    held.silent_since = upstream.reach.silent_since();
+        view.answered_at = upstream.reach.answered_at();
+    view.silent_since = upstream.reach.silent_since();
     if (now < upstream.avoided_until)
-        held.avoided_until = upstream.avoided_until;
-    held.missing_since = upstream.missing_since;
+        view.avoided_until = upstream.avoided_until;
+    view.missing_since = upstream.missing_since;
     if (now < upstream.cold_until)
-        held.cold_until = upstream.cold_until;
-    return held;
+        view.cold_until = upstream.cold_until;
+    return view;
 }
 
 upstream_candidate tagged_upstreams::candidate_of(
     time_point now, tagged_upstream const& upstream) const
 {
-    return {
-        upstream.registered, upstream.flows, this->belief_in(now, upstream)};
+    return {upstream.registered, upstream.flows, this->view_of(now, upstream)};
 }
 
 std::vector<upstream_candidate>
@@ -291,7 +297,7 @@
         [](upstream_candidate const& one)
         {
             return std::tuple(
-                standing_for(one.belief.verdict), one.belief.load_permille,
+                tier_for(one.belief.verdict), one.belief.load_permille,
                 one.registered.instance);
         });
     return found;
@@ -301,12 +307,12 @@
     time_point now, tagged_upstream& upstream) const
 {
     auto const doublings = std::min(upstream.failures, maximum_doublings);
-    duration const wanted =
+    duration const backoff =
         this->settings.avoidance_minimum * (1LL << doublings);
     ++upstream.failures;
     upstream.reach.note_silent(now);
     upstream.avoided_until =
-        now + std::min(wanted, this->settings.avoidance_maximum);
+        now + std::min(backoff, this->settings.avoidance_maximum);
 }
 
 void tagged_upstreams::note_answered(time_point at, tagged_upstream& upstream)
--- a/libraries/tagging/tagged_upstreams.hpp
+++ b/libraries/tagging/tagged_upstreams.hpp
@@ -21,29 +21,30 @@
 namespace cairnhead
 {
 
-/// Everything that one VM knows of one registered upstream.
+/// What one VM knows about one registered upstream.
 struct tagged_upstream
 {
     registered_upstream registered;
     upstream_tag tag;
     failure_domain_id domain;
-    /// The registry's update with which this VM learned of it: a later one has
-    /// a higher number.
+    /// Number of the registry update that first listed the upstream at this VM.
+    /// Later updates have higher numbers.
     std::uint64_t learned_with = 0;
-    /// Set while the registry does not have it.
+    /// Set while the registry does not list the upstream.
     std::optional<time_point> missing_since;
+    /// End of slow start.
     time_point cold_until;
     cold_admission cold_openings;
-    /// Unanswered openings in a row.
+    /// Consecutive openings that the upstream left unanswered.
     std::uint32_t failures = 0;
-    /// It takes new flows before this only when nothing else is left.
+    /// Until then the upstream gets new flows only if no better one is left.
     time_point avoided_until;
-    /// Flows that this VM passes on to it.
+    /// Flows that this VM forwards to the upstream.
     std::uint32_t flows = 0;
     upstream_reach reach;
 };
 
-/// Where an upstream receives packets.
+/// Address and port at which an upstream receives packets.
 struct upstream_place
 {
     ipv4_address address;
@@ -59,21 +60,21 @@
     }
 };
 
-/// Which upstream of a pool a flow gets, and among how many it was chosen.
+/// The upstream chosen for a flow, and the size of the set it was chosen from.
 struct upstream_choice
 {
-    /// Null when none may take the flow.
+    /// Null if no upstream may take the flow.
     tagged_upstream* chosen = nullptr;
     flow_rule rule = flow_rule::no_upstream;
     std::string pool;
     std::uint32_t pool_size = 0;
     std::uint32_t ready = 0;
-    /// Of the pool, those that are not used for these reasons.
+    /// Upstreams of the pool that were excluded for these reasons.
     std::uint32_t evacuated = 0;
     std::uint32_t cold = 0;
 };
 
-/// A registered upstream as a new flow would find it.
+/// A registered upstream as a candidate for a new flow.
 struct upstream_candidate
 {
     registered_upstream registered;
@@ -81,111 +82,116 @@
     upstream_belief belief;
 };
 
-/// The upstreams that the registry has or had lately, by tag and by pool.
-/// Thread safety of all methods: none; one thread, the reducer's.
+/// Table of the upstreams that the registry lists or listed recently, by tag
+/// and by pool. Chooses the upstream for each new flow. No method has a
+/// precondition unless its comment states one. None is thread-safe; all run on
+/// the reducer's thread.
 class tagged_upstreams
 {
 public:
     /// Precondition: the settings outlive the object.
     tagged_upstreams(
         tagging_settings const& settings,
-        domain_watch const& watched,
+        domain_watch const& reachability,
         failure_domain_id own,
         std::uint64_t seed);
 
-    /// What an update tells of upstreams that were there before.
+    /// Changes that a registry update brought to upstreams known before it.
     struct update_outcome
     {
-        /// They started again under their number: nothing that was believed of
-        /// their earlier start holds.
+        /// Upstreams that restarted under the same instance number. What this
+        /// VM observed of the earlier incarnation no longer applies.
         std::vector<upstream_tag> restarted;
-        /// Their address belongs to another one now, so they have ended.
+        /// Upstreams whose address now belongs to another one, so that they
+        /// have stopped.
         std::vector<upstream_tag> succeeded;
     };
 
-    /// Which failure domains operators evacuate from now on. Once an evacuation
-    /// ends its upstreams count as cold: they may have restarted meanwhile, and
-    /// all VMs come back to them at once. No precondition.
+    /// Sets the failure domains that operators evacuate from now on. When an
+    /// evacuation ends, the domain's upstreams are put into slow start: they
+    /// may have restarted meanwhile, and all VMs return to them at once.
     void set_evacuated(time_point now, std::span<std::string const> names);
 
-    /// How pools behave after a start; sorted by pool. No precondition.
-    void set_warmups(std::span<pool_warmup const> told);
+    /// Sets the slow start parameters of the pools; sorted by pool.
+    void set_warmups(std::span<pool_warmup const> listed);
 
-    /// The VMs of the own failure domain, this one included: who of them opens
-    /// flows at a cold upstream follows from them. No precondition.
+    /// Sets the VMs of the own failure domain, this one included. They decide
+    /// which VM opens flows at a cold upstream.
     void set_domain_vms(vm_id self, std::span<vm_id const> vms);
 
-    /// Whether an opening that it has got may be sent there again. No
-    /// precondition.
+    /// Whether an opening that was already sent to the upstream may be sent to
+    /// it again.
     [[nodiscard]] bool
     may_keep_opening(time_point now, tagged_upstream const& upstream) const;
 
-    /// A flow was opened there. No precondition.
+    /// Records that this VM opened a flow at the upstream.
     void note_opened(time_point now, tagged_upstream& upstream) const;
 
-    /// Takes in what the registry has now, by what differs from what it had.
-    /// No precondition.
+    /// Applies the differences between the previous listing of the registry and
+    /// the current one.
     [[nodiscard]] update_outcome update(
         time_point now,
         upstream_listing const& before,
         upstream_listing const& listing);
 
-    /// Whether another upstream registered at its address after it. An address
-    /// is given away only when its upstream has ended. A connection to it then
-    /// finds the other one, which ignores what is meant for this one: checks
-    /// and silence show nothing, and callers would wait until their deadlines.
-    /// No precondition.
+    /// Whether another upstream registered at the same address later. An
+    /// address is reassigned only after its upstream has stopped. Connections
+    /// then reach the new upstream, which ignores packets meant for the old
+    /// one. Neither checks nor silence reveal this, and callers would wait
+    /// until their deadlines.
     [[nodiscard]] bool is_succeeded(tagged_upstream const& upstream) const;
 
-    /// Forgets upstreams that left long ago. No precondition.
+    /// Removes upstreams that have been missing from the registry for longer
+    /// than the retention setting.
     void forget_old(time_point now);
 
-    /// The upstream of a tag, or nullptr; valid until the next change.
-    /// No precondition.
+    /// The upstream with this tag, or nullptr; valid until the next change of
+    /// the table.
     [[nodiscard]] tagged_upstream* find(upstream_tag tag);
     [[nodiscard]] tagged_upstream const* find(upstream_tag tag) const;
 
-    /// Chooses an upstream of the pool for a new flow: the least loaded that
-    /// is ready; one that lately left openings unanswered, or is missing from
-    /// the registry, only when nothing else is left. Never `excluded` (zero
-    /// excludes none). No precondition.
+    /// Chooses an upstream of the pool for a new flow: the least loaded one
+    /// that is ready. An upstream that recently left openings unanswered, or
+    /// that is missing from the registry, is chosen only if no other is left.
+    /// Never chooses `excluded` (zero excludes none).
     [[nodiscard]] upstream_choice
     choose(time_point now, std::string_view pool, upstream_tag excluded);
 
-    /// Those that the registry has, with what is believed of them. No
-    /// precondition.
+    /// The upstreams that the registry lists, with their state as this VM sees
+    /// it.
     [[nodiscard]] std::vector<upstream_candidate>
     registered_ones(time_point now) const;
 
-    /// The pool's upstreams in the order in which a new flow would be offered
-    /// to them, but for the random choice among equal ones. No precondition.
+    /// The pool's upstreams in the order in which a new flow would prefer them,
+    /// apart from the random choice among equals.
     [[nodiscard]] std::vector<upstream_candidate>
     candidates(time_point now, std::string_view pool) const;
 
-    /// How many upstreams of the domain are silent. No precondition.
+    /// Number of listed upstreams of the domain that are silent.
     [[nodiscard]] std::size_t count_silent(failure_domain_id domain) const;
 
-    /// An opening was not answered. No precondition.
+    /// Records that the upstream left an opening unanswered.
     void note_unanswered(time_point now, tagged_upstream& upstream) const;
 
-    /// It answered a caller at that moment, or later. No precondition.
+    /// Records that the upstream answered a caller at `at` or later.
     static void note_answered(time_point at, tagged_upstream& upstream);
 
-    /// Others than the suspect that answered callers last: first one of the own
-    /// failure domain, then one of another. No precondition.
+    /// Reference upstreams for a check of the suspect: those that answered
+    /// callers most recently, first one of the own failure domain, then one of
+    /// another. Contains at most these two.
     [[nodiscard]] std::vector<connection_target>
     choose_witnesses(upstream_tag suspect) const;
 
-    /// The failure domain's name, for people; empty when no upstream is in it.
-    /// No precondition.
+    /// The failure domain's name, for logs and operators; empty if no upstream
+    /// is in it.
     [[nodiscard]] std::string name_of(failure_domain_id domain) const;
 
-    /// All that are known. No precondition.
+    /// All upstreams in the table.
     [[nodiscard]] std::span<tagged_upstream const> all() const;
 
 private:
-    /// How much an upstream is to be spared; lower goes first.
-    enum class standing : std::uint8_t
+    /// Order of preference; lower values are chosen first.
+    enum class selection_tier : std::uint8_t
     {
         ready,
         avoided,
@@ -193,8 +199,8 @@
         unusable,
     };
 
-    [[nodiscard]] static flow_rule rule_for(standing chosen);
-    [[nodiscard]] static standing standing_for(upstream_verdict verdict);
+    [[nodiscard]] static flow_rule rule_for(selection_tier chosen);
+    [[nodiscard]] static selection_tier tier_for(upstream_verdict verdict);
     [[nodiscard]] upstream_verdict
     verdict_on(time_point now, tagged_upstream const& upstream) const;
     [[nodiscard]] bool
@@ -202,20 +208,20 @@
     [[nodiscard]] pool_warmup const*
     warmup_of(tagged_upstream const& upstream) const;
     [[nodiscard]] upstream_belief
-    belief_in(time_point now, tagged_upstream const& upstream) const;
+    view_of(time_point now, tagged_upstream const& upstream) const;
     [[nodiscard]] upstream_candidate
     candidate_of(time_point now, tagged_upstream const& upstream) const;
     [[nodiscard]] double
     load_of(time_point now, tagged_upstream const& upstream) const;
-    void register_one(
+    void register_upstream(
         time_point now,
         registered_upstream const& registered,
         update_outcome& outcome);
-    void
-    note_address(tagged_upstream const& registered, update_outcome& outcome);
-    static void forget_earlier_life(time_point now, tagged_upstream& restarted);
+    void check_address_takeover(
+        tagged_upstream const& registered, update_outcome& outcome);
+    static void reset_after_restart(time_point now, tagged_upstream& restarted);
     void mark_missing(time_point now, instance_number instance);
-    void register_waiting(time_point now, update_outcome& outcome);
+    void register_waiting_upstreams(time_point now, update_outcome& outcome);
     void add_to_index(std::size_t index);
     void rebuild_index();
 
@@ -229,10 +235,11 @@
     appointed_opener opener;
     absl::flat_hash_map<upstream_tag, std::size_t> by_tag;
     std::map<std::string, std::vector<std::size_t>, std::less<>> pools;
-    /// The one that was learned of last at each address.
-    absl::flat_hash_map<upstream_place, upstream_tag> by_place;
-    std::uint64_t updates = 0;
-    /// Registered, but another one has their tag. Sorted by instance.
+    /// The upstream that was listed last at each address.
+    absl::flat_hash_map<upstream_place, upstream_tag> by_endpoint;
+    /// Number of registry updates so far.
+    std::uint64_t update_count = 0;
+    /// Listed upstreams whose tag another upstream holds. Sorted by instance.
     std::map<instance_number, registered_upstream> waiting_for_tag;
 };
 
--- a/libraries/tagging/tagged_upstreams_choice.cpp
+++ b/libraries/tagging/tagged_upstreams_choice.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-/// Which upstream may take an opening, and which one gets it.
+/// Selection of an upstream for an opening.
 namespace cairnhead
 {
 
@@ -14,8 +14,8 @@
 
 constexpr double whole_percent = 100.0;
 
-/// Random part of an upstream's load, so that VMs which see the same loads do
-/// not all choose the same one.
+/// Maximum of the random part of an upstream's load. It keeps VMs that see the
+/// same loads from all choosing the same upstream.
 constexpr double tie_breaking_load = 0.01;
 
 } // namespace
@@ -37,10 +37,10 @@
     }
 }
 
-void tagged_upstreams::set_warmups(std::span<pool_warmup const> told)
+void tagged_upstreams::set_warmups(std::span<pool_warmup const> listed)
 {
     this->warmups.clear();
-    for (pool_warmup const& warmup : told)
+    for (pool_warmup const& warmup : listed)
         this->warmups.emplace(warmup.pool, warmup);
 }
 
@@ -68,10 +68,10 @@
     cold_limit const limit = make_cold_limit(
         warmup->openings_per_second, this->settings.cold_overrun,
         this->settings.cold_slack);
-    bool const may_open =
+    bool const is_opener =
         upstream.domain == this->own_domain &&
         this->opener.is_appointed(upstream.registered.instance);
-    return !may_open || !upstream.cold_openings.may_open(now, limit.from_one);
+    return !is_opener || !upstream.cold_openings.may_open(now, limit.from_one);
 }
 
 bool tagged_upstreams::may_keep_opening(
@@ -104,29 +104,30 @@
     if (members == this->pools.end())
         return best;
     best.pool_size = static_cast<std::uint32_t>(members->second.size());
-    auto best_standing = standing::unusable;
+    auto best_tier = selection_tier::unusable;
     double best_load = 0;
-    std::uniform_real_distribution<double> ties(0.0, tie_breaking_load);
+    std::uniform_real_distribution<double> tie_breaker(0.0, tie_breaking_load);
     for (std::size_t const index : members->second)
     {
         tagged_upstream& candidate = this->upstreams[index];
         auto const verdict = this->verdict_on(now, candidate);
-        auto const reached = standing_for(verdict);
+        auto const tier = tier_for(verdict);
         best.evacuated += verdict == upstream_verdict::evacuated ? 1 : 0;
         best.cold += verdict == upstream_verdict::cold ? 1 : 0;
-        if (reached == standing::unusable || candidate.tag == excluded)
+        if (tier == selection_tier::unusable || candidate.tag == excluded)
             continue;
-        best.ready += reached == standing::ready ? 1 : 0;
-        double const load = this->load_of(now, candidate) + ties(this->random);
-        bool const is_better = reached < best_standing ||
-                               (reached == best_standing && load < best_load);
+        best.ready += tier == selection_tier::ready ? 1 : 0;
+        double const load =
+            this->load_of(now, candidate) + tie_breaker(this->random);
+        bool const is_better =
+            tier < best_tier || (tier == best_tier && load < best_load);
         if (!is_better)
             continue;
         best.chosen = &candidate;
-        best_standing = reached;
+        best_tier = tier;
         best_load = load;
     }
-    best.rule = rule_for(best_standing);
+    best.rule = rule_for(best_tier);
     if (best.chosen == nullptr && best.cold > 0)
         best.rule = flow_rule::only_cold_left;
     else if (best.chosen == nullptr && best.evacuated > 0)
@@ -134,49 +135,49 @@
     return best;
 }
 
-flow_rule tagged_upstreams::rule_for(standing chosen)
+flow_rule tagged_upstreams::rule_for(selection_tier chosen)
 {
     switch (chosen)
     {
-    case standing::ready:
+    case selection_tier::ready:
         return flow_rule::least_loaded;
-    case standing::avoided:
+    case selection_tier::avoided:
         return flow_rule::only_avoided_left;
-    case standing::missing:
+    case selection_tier::missing:
         return flow_rule::only_missing_left;
-    case standing::unusable:
+    case selection_tier::unusable:
         break;
     }
     return flow_rule::no_upstream;
 }
 
-tagged_upstreams::standing
-tagged_upstreams::standing_for(upstream_verdict verdict)
+tagged_upstreams::selection_tier
+tagged_upstreams::tier_for(upstream_verdict verdict)
 {
     switch (verdict)
     {
     case upstream_verdict::ready:
-        return standing::ready;
+        return selection_tier::ready;
     case upstream_verdict::avoided:
     case upstream_verdict::unreachable:
     case upstream_verdict::domain_unreachable:
-        return standing::avoided;
+        return selection_tier::avoided;
     case upstream_verdict::missing:
-        return standing::missing;
+        return selection_tier::missing;
     case upstream_verdict::gone:
     case upstream_verdict::draining:
     case upstream_verdict::evacuated:
     case upstream_verdict::cold:
         break;
     }
-    return standing::unusable;
+    return selection_tier::unusable;
 }
 
 upstream_verdict tagged_upstreams::verdict_on(
     time_point now, tagged_upstream const& upstream) const
 {
-    // A draining upstream must not be asked even when nothing else is left:
-    // what it accepts now would be cut when it ends.
+    // A draining upstream gets no new flows even if no other is left: a flow
+    // that it accepts now would be cut when it stops.
     if (upstream.registered.is_draining)
         return upstream_verdict::draining;
     if (this->evacuated.contains(upstream.domain))
@@ -185,9 +186,10 @@
         return upstream_verdict::gone;
     if (upstream.missing_since)
     {
-        bool const may_live =
+        bool const may_be_running =
             now < *upstream.missing_since + this->settings.missing_grace;
-        return may_live ? upstream_verdict::missing : upstream_verdict::gone;
+        return may_be_running ? upstream_verdict::missing
+                              : upstream_verdict::gone;
     }
     if (this->is_cold_and_full(now, upstream))
         return upstream_verdict::cold;
@@ -202,15 +204,16 @@
 double
 tagged_upstreams::load_of(time_point now, tagged_upstream const& upstream) const
 {
-    double const share = now < upstream.cold_until
-                             ? this->settings.cold_share_percent / whole_percent
-                             : 1.0;
+    double const slow_start_factor =
+        now < upstream.cold_until
+            ? this->settings.cold_share_percent / whole_percent
+            : 1.0;
     double const slots = std::max(upstream.registered.slots, std::uint32_t{1});
-    double const distance =
+    double const distance_factor =
         upstream.domain == this->own_domain
             ? 1.0
             : static_cast<double>(this->settings.remote_load_factor);
-    return distance * (upstream.flows + 1) / (slots * share);
+    return distance_factor * (upstream.flows + 1) / (slots * slow_start_factor);
 }
 
 } // namespace cairnhead
--- a/libraries/tagging/upstream_belief.hpp
+++ b/libraries/tagging/upstream_belief.hpp
@@ -12,38 +12,39 @@
 enum class upstream_verdict : std::uint8_t
 {
     ready,
-    /// It left openings unanswered, and is spared for a while.
+    /// It left openings unanswered and is avoided until a back-off expires.
     avoided,
-    /// A check found nobody there, while a witness answered.
+    /// A check got no answer from it, while a reference upstream answered.
     unreachable,
-    /// Its failure domain cannot be reached.
+    /// Its failure domain is unreachable.
     domain_unreachable,
-    /// The registry lost it a moment ago; it may live.
+    /// It vanished from the registry recently and may still be running.
     missing,
-    /// The registry lost it long enough ago.
+    /// It has been missing from the registry for longer than the grace period,
+    /// or another upstream took over its address.
     gone,
-    /// It takes no new flows by its own wish.
+    /// It asked for no new flows, as it is draining.
     draining,
-    /// Operators evacuate its failure domain.
+    /// Operators are evacuating its failure domain.
     evacuated,
-    /// It is cold, and bears no more openings from this VM for now.
+    /// It is in slow start, and this VM may send it no more openings for now.
     cold,
 };
 
-/// What one VM believes of an upstream, with the evidence.
+/// The state of an upstream as one VM sees it, with the evidence.
 struct upstream_belief
 {
     upstream_verdict verdict = upstream_verdict::ready;
-    /// Flows for each slot, in thousandths, as placement compares them: larger
-    /// for cold upstreams and for those of other failure domains.
+    /// Flows per slot, in thousandths, as placement compares them. Larger for
+    /// cold upstreams and for those of other failure domains.
     std::uint32_t load_permille = 0;
-    /// Openings in a row that it left unanswered.
+    /// Consecutive openings that it left unanswered.
     std::uint32_t unanswered = 0;
     std::optional<time_point> answered_at;
     std::optional<time_point> silent_since;
     std::optional<time_point> avoided_until;
     std::optional<time_point> missing_since;
-    /// It gets a part of its share until then.
+    /// End of slow start. Until then it gets part of its usual share of flows.
     std::optional<time_point> cold_until;
 };
 
--- a/libraries/tagging/upstream_reach.cpp
+++ b/libraries/tagging/upstream_reach.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/// An upstream counts as out of reach for so many periods of checks; one that
-/// is missed changes nothing yet.
-constexpr int belief_periods = 3;
+/// Check periods for which an upstream counts as unreachable after a check.
+/// More than one, so that a single missed check changes nothing.
+constexpr int unreachable_periods = 3;
 
 template <typename... Functions>
 struct overloaded : Functions...
@@ -26,43 +26,43 @@
 
 std::optional<time_point> upstream_reach::silent_since() const
 {
-    using moment = std::optional<time_point>;
+    using optional_time = std::optional<time_point>;
     return std::visit(
         overloaded{
-            [](trusted const&) -> moment
+            [](answering const&) -> optional_time
             {
                 return std::nullopt;
             },
-            [](doubted const& state) -> moment
+            [](silent const& state) -> optional_time
             {
                 return state.since;
             },
-            [](checked const& state) -> moment
+            [](checking const& state) -> optional_time
             {
                 return state.silent_since;
             },
-            [](unreachable const& state) -> moment
+            [](unreachable const& state) -> optional_time
             {
                 return state.silent_since;
             }},
-        this->held);
+        this->current);
 }
 
 void upstream_reach::note_answered(time_point at)
 {
     this->last_answer_at = std::max(this->last_answer_at, at);
     auto const since = this->silent_since();
-    // What came before the silence says nothing about it.
+    // An answer from before the silence says nothing about the silence.
     if (since && at < *since)
         return;
-    this->held = trusted{};
+    this->current = answering{};
 }
 
 void upstream_reach::note_silent(time_point now)
 {
-    if (std::holds_alternative<trusted>(this->held))
-        this->held = doubted{now};
-    if (auto* const running = std::get_if<checked>(&this->held))
+    if (std::holds_alternative<answering>(this->current))
+        this->current = silent{now};
+    if (auto* const running = std::get_if<checking>(&this->current))
         running->silent_since = running->silent_since.value_or(now);
 }
 
@@ -73,7 +73,7 @@
 
 bool upstream_reach::is_unreachable(time_point now) const
 {
-    auto const* const state = std::get_if<unreachable>(&this->held);
+    auto const* const state = std::get_if<unreachable>(&this->current);
     return state != nullptr && now < state->expires_at;
 }
 
@@ -94,9 +94,9 @@
 {
     this->is_check_running = true;
     this->next_check_at = now + settings.check_period;
-    if (std::holds_alternative<unreachable>(this->held))
+    if (std::holds_alternative<unreachable>(this->current))
         return;
-    this->held = checked{this->silent_since()};
+    this->current = checking{this->silent_since()};
 }
 
 reach_change upstream_reach::end_check(
@@ -105,10 +105,11 @@
     tagging_settings const& settings)
 {
     this->is_check_running = false;
-    // An answer or a listing came meanwhile: the check speaks of the past.
-    bool const is_void = std::holds_alternative<trusted>(this->held) ||
-                         std::holds_alternative<doubted>(this->held);
-    if (is_void)
+    // An answer or a new listing arrived since the check began, so that its
+    // outcome is out of date.
+    bool const is_outdated = std::holds_alternative<answering>(this->current) ||
+                             std::holds_alternative<silent>(this->current);
+    if (is_outdated)
         return reach_change::none;
     bool const was_unreachable = this->is_unreachable(now);
     auto const since = this->silent_since();
@@ -116,26 +117,28 @@
     {
     case connection_outcome::connected:
     case connection_outcome::refused:
-        // Where nobody listens, the machine itself resets flows.
-        this->held = trusted{};
+        // If nothing listens at the port, the upstream's machine resets the
+        // flows itself.
+        this->current = answering{};
         return was_unreachable ? reach_change::found_reachable
                                : reach_change::none;
     case connection_outcome::inconclusive:
         this->next_check_at = now + settings.check_after;
         if (!was_unreachable)
-            this->held = since ? belief(doubted{*since}) : belief(trusted{});
+            this->current =
+                since ? reach_state(silent{*since}) : reach_state(answering{});
         return reach_change::none;
     case connection_outcome::unanswered:
         break;
     }
-    this->held = unreachable{
-        since.value_or(now), now + settings.check_period * belief_periods};
+    this->current = unreachable{
+        since.value_or(now), now + settings.check_period * unreachable_periods};
     return reach_change::found_unreachable;
 }
 
 void upstream_reach::hasten_check(time_point now)
 {
-    if (std::holds_alternative<unreachable>(this->held))
+    if (std::holds_alternative<unreachable>(this->current))
         this->next_check_at = std::min(this->next_check_at, now);
 }
 
--- a/libraries/tagging/upstream_reach.hpp
+++ b/libraries/tagging/upstream_reach.hpp
@@ -11,86 +11,86 @@
 namespace cairnhead
 {
 
-/// What the end of a check changed.
+/// What the result of a check changed.
 enum class reach_change : std::uint8_t
 {
     none,
-    /// The check found nobody. Flows at the upstream may be ended now, and at
-    /// no other moment.
+    /// The check got no answer. Only now may flows at the upstream be ended.
     found_unreachable,
-    /// The upstream was held for out of reach, and is there after all.
+    /// The upstream was considered unreachable, but is reachable.
     found_reachable,
 };
 
-/// What one VM believes of one upstream: whether it can be reached.
+/// State machine by which one VM decides whether an upstream is reachable.
 ///
-///              repetition              check starts
-///     trusted ------------> doubted ----------------> checked
+///             retransmission            check starts
+///    answering ------------> silent -----------------> checking
 ///        ^                   ^    ^                     |
-///        | answer, accepted  |    | inconclusive        | nobody answered,
-///        +-------------------+    +---------------------+ a witness did
-///        |                   | expires                  v
+///        | answer, accepted  |    | inconclusive        | no answer, but one
+///        +-------------------+    +---------------------+ from a reference
+///        |                   | expires                  v upstream
 ///        +-------------------+--------------------- unreachable
 ///
-/// An answer to a caller leads to `trusted` from everywhere, and makes a check
-/// that runs void: so no check speaks against an upstream that answered after
-/// it began. A flow is ended only as a check ends, never by a belief that is
-/// older: it would reset the first packet of a flow that was opened through
-/// another VM, after the cut that led to it has healed.
-/// Thread safety of all methods: none.
+/// An answer to a caller leads to `answering` from every state and invalidates
+/// a running check, so that no check counts against an upstream that answered
+/// after the check began. A flow is ended only when a check ends, never because
+/// of an older result: that would reset the first packet of a flow opened
+/// through another VM, after the network partition has healed.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class upstream_reach
 {
 public:
-    /// It answered a caller at that moment. No precondition.
+    /// Records that the upstream answered a caller at `at`.
     void note_answered(time_point at);
 
-    /// A caller had to repeat itself, or an opening was not answered. No
-    /// precondition.
+    /// Records that a caller retransmitted, or that an opening was not
+    /// answered.
     void note_silent(time_point now);
 
-    /// Whether a caller waits in vain, as far as is known. No precondition.
+    /// Whether a caller is waiting without an answer, as far as this VM knows.
     [[nodiscard]] bool is_doubted() const;
 
-    /// Since when, if so. No precondition.
+    /// When the silence began, if the upstream is silent.
     [[nodiscard]] std::optional<time_point> silent_since() const;
 
-    /// Whether it takes new flows only when nothing else is left. No
-    /// precondition.
+    /// Whether a check found the upstream unreachable and the result has not
+    /// expired. It then gets new flows only if no other upstream is left.
     [[nodiscard]] bool is_unreachable(time_point now) const;
 
-    /// When it answered a caller last. No precondition.
+    /// When the upstream last answered a caller.
     [[nodiscard]] time_point answered_at() const;
 
-    /// Whether a check is to start: none runs, its time has come, and nobody
-    /// got an answer for a while. No precondition.
+    /// Whether to start a check: none is running, the next one is due, and no
+    /// caller got an answer within the `check_after` setting.
     [[nodiscard]] bool
     is_check_due(time_point now, tagging_settings const& settings) const;
 
-    /// A check starts. Precondition: none runs.
+    /// Records that a check starts. Precondition: none is running.
     void start_check(time_point now, tagging_settings const& settings);
 
-    /// The check that runs ended. No precondition.
+    /// Applies the outcome of the running check.
     reach_change end_check(
         time_point now,
         connection_outcome outcome,
         tagging_settings const& settings);
 
-    /// A caller sends data to an upstream held for out of reach: it is to be
-    /// checked again at once, as only a new check may end the flow. No
-    /// precondition.
+    /// Makes the next check of an unreachable upstream due now. Called when a
+    /// caller sends data to it, as only a new check may end the flow.
     void hasten_check(time_point now);
 
 private:
-    struct trusted
+    struct answering
     {
     };
-    struct doubted
+    struct silent
     {
         time_point since;
     };
-    struct checked
+    struct checking
     {
-        /// Nothing where the failure domain is in doubt, not the upstream.
+        /// Empty if the check is due to the failure domain's silence, not to
+        /// the upstream's.
         std::optional<time_point> silent_since;
     };
     struct unreachable
@@ -98,9 +98,9 @@
         time_point silent_since;
         time_point expires_at;
     };
-    using belief = std::variant<trusted, doubted, checked, unreachable>;
+    using reach_state = std::variant<answering, silent, checking, unreachable>;
 
-    belief held;
+    reach_state current;
     time_point last_answer_at;
     time_point next_check_at;
     bool is_check_running = false;
--- a/tests/tagging/test_cold_admission.cpp
+++ b/tests/tagging/test_cold_admission.cpp
@@ -19,13 +19,13 @@
     return vms;
 }
 
-/// One VM of a failure domain, as far as one cold upstream concerns it.
+/// One VM of a failure domain, with its state for one cold upstream.
 struct opener
 {
     bool is_appointed = false;
     cold_admission admission;
 
-    void know(vm_id self, std::span<vm_id const> vms)
+    void set_members(vm_id self, std::span<vm_id const> vms)
     {
         appointed_opener appointed;
         appointed.set_vms(self, vms);
@@ -34,31 +34,33 @@
 
     bool try_open(time_point now, cold_limit limit)
     {
-        bool const may =
+        bool const is_admitted =
             this->is_appointed && this->admission.may_open(now, limit.from_one);
-        if (may)
+        if (is_admitted)
             this->admission.note_opened(now);
-        return may;
+        return is_admitted;
     }
 };
 
-/// The most openings in any span of a second. Precondition: sorted.
-std::size_t most_in_a_second(std::vector<time_point> const& opened)
+/// Largest number of openings in any span of a second. Precondition: the times
+/// are sorted.
+std::size_t maximum_per_second(std::vector<time_point> const& opened)
 {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     auto first = opened.begin();
     for (auto last = opened.begin(); last != opened.end(); ++last)
     {
         while (*last >= *first + 1s)
             ++first;
-        most = std::max(most, static_cast<std::size_t>(last - first) + 1);
+        maximum = std::max(maximum, static_cast<std::size_t>(last - first) + 1);
     }
-    return most;
+    return maximum;
 }
 
-/// Openings that reach one cold upstream when many callers ask all VMs.
-std::vector<time_point>
-press(std::vector<opener>& openers, cold_limit limit, std::uint64_t seed)
+/// Returns the times of the openings that reach one cold upstream when many
+/// callers send openings to all VMs.
+std::vector<time_point> send_openings(
+    std::vector<opener>& openers, cold_limit limit, std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     std::vector<time_point> opened;
@@ -79,9 +81,9 @@
 
 } // namespace
 
-// Guards against hundreds of VMs that each keep within a limit, and together
-// break it.
-Test(cold_admission, many_vms_keep_one_limit)
+// Guards against an overload of a cold upstream by hundreds of VMs, each of
+// which keeps within a limit while all of them together exceed it.
+Test(slow_start_limiter, many_vms_keep_one_limit)
 {
     for (double const rate : rates)
     {
@@ -91,17 +93,18 @@
             auto const vms = make_vms(count);
             std::vector<opener> openers(count);
             for (std::uint32_t vm = 0; vm < count; ++vm)
-                openers[vm].know(vms[vm], vms);
-            auto const opened = press(openers, limit, 7);
-            cr_expect_leq(most_in_a_second(opened), limit.in_all);
+                openers[vm].set_members(vms[vm], vms);
+            auto const opened = send_openings(openers, limit, 7);
+            cr_expect_leq(maximum_per_second(opened), limit.in_all);
             cr_expect_geq(
-                opened.size(), 4 * limit.from_one, "the limit is made use of");
+                opened.size(), 4 * limit.from_one, "the limit is not used up");
         }
     }
 }
 
-// Guards against a failure domain that is cut in two: both halves appoint a VM.
-Test(cold_admission, two_views_keep_one_limit)
+// Guards against an overload of a cold upstream while a network partition
+// splits its failure domain: each half appoints a VM.
+Test(slow_start_limiter, two_views_keep_one_limit)
 {
     for (double const rate : rates)
     {
@@ -111,21 +114,24 @@
         std::vector<vm_id> const lower(vms.begin(), vms.begin() + 100);
         std::vector<vm_id> const upper(vms.begin() + 100, vms.end());
         for (std::size_t vm = 0; vm < vms.size(); ++vm)
-            openers[vm].know(vms[vm], vm < 100 ? lower : upper);
-        cr_expect_leq(most_in_a_second(press(openers, limit, 8)), limit.in_all);
+            openers[vm].set_members(vms[vm], vm < 100 ? lower : upper);
+        cr_expect_leq(
+            maximum_per_second(send_openings(openers, limit, 8)), limit.in_all);
     }
 }
 
-// Guards against VMs that have just started, of which each knows itself alone.
-Test(cold_admission, vms_that_know_nobody_open_nothing)
+// Guards against an overload of a cold upstream by VMs that have just started.
+// None of them knows the other members yet, so that each could appoint itself.
+Test(slow_start_limiter, vms_that_know_nobody_open_nothing)
 {
     std::vector<opener> openers(300);
     auto const limit = make_cold_limit(50, 1.5, 5);
-    cr_expect(press(openers, limit, 9).empty());
+    cr_expect(send_openings(openers, limit, 9).empty());
 }
 
-// Guards against twice the limit around the edge of a counted second.
-Test(cold_admission, every_span_of_a_second_counts)
+// Guards against a limit that is counted in fixed windows: twice the limit
+// would pass around the boundary of two windows.
+Test(slow_start_limiter, every_span_of_a_second_counts)
 {
     cold_admission admission;
     time_point const start{1h};
@@ -139,27 +145,28 @@
     cr_expect(admission.may_open(start + 1900ms, 3));
 }
 
-// Guards against a cold upstream that VMs of other failure domains open flows
-// at, and against callers that wait where all upstreams are cold and full.
-Test(cold_admission, openings_go_elsewhere_or_are_refused)
+// Guards against flows opened at a cold upstream by VMs of other failure
+// domains, and against callers that wait while all upstreams are cold and at
+// their limit.
+Test(slow_start_limiter, openings_go_elsewhere_or_are_refused)
 {
     auto cold = make_upstream(1);
     cold.cold_milliseconds = 2000;
-    auto cold_abroad = make_upstream(2, "main", "stirling");
-    cold_abroad.cold_milliseconds = 2000;
+    auto cold_remote = make_upstream(2, "main", "stirling");
+    cold_remote.cold_milliseconds = 2000;
     bench vm;
     vm.settings.cold_overrun = 1.5;
     vm.settings.cold_slack = 1;
     vm.list_routes({}, {{"main", 2s, 2.0}});
-    vm.list({cold, cold_abroad});
+    vm.list({cold, cold_remote});
     std::vector<vm_id> const alone{vm_id(1)};
     vm.router.set_domain_vms(vm_id(1), alone);
-    // Half of 2 * 1.5 + 1 a second.
+    // The limit is half of 2 * 1.5 + 1 openings per second.
     cr_expect_eq(vm.establish(1), 1);
     cr_expect_eq(vm.establish(2), 1);
     auto const decided = vm.pass(3, packet_phase::opening, 0);
     cr_expect(std::holds_alternative<refuse_opening>(decided));
-    vm.list({cold, cold_abroad, make_upstream(3)});
+    vm.list({cold, cold_remote, make_upstream(3)});
     cr_expect_eq(vm.establish(4), 3);
     vm.wait(2s);
     cr_expect_neq(vm.open(5), 0);
--- a/tests/tagging/test_connection_trial.cpp
+++ b/tests/tagging/test_connection_trial.cpp
@@ -10,23 +10,24 @@
 
 constexpr time_point start{1h};
 
-constexpr trial_look nobody{};
-constexpr trial_look witness_only{
+constexpr trial_look no_answer{};
+constexpr trial_look reference_only{
     connection_state::pending, connection_state::accepted};
 
-/// Looks as often as the trial asks for; the outcome and how long it took.
-struct judged
+/// Outcome of a check and how long it took.
+struct check_result
 {
     connection_outcome outcome = connection_outcome::inconclusive;
     duration after{};
 };
 
-template <typename Look>
-judged look_until_judged(connection_trial& trial, Look const& look_at)
+/// Observes the connections as often as the check asks for, until it ends.
+template <typename Observe>
+check_result run_check(connection_trial& check, Observe const& observe_at)
 {
-    for (time_point now = trial.next_due();; now = trial.next_due())
+    for (time_point now = check.next_due();; now = check.next_due())
     {
-        auto const outcome = trial.judge(now, look_at(now));
+        auto const outcome = check.judge(now, observe_at(now));
         if (outcome)
             return {*outcome, now - start};
     }
@@ -34,89 +35,90 @@
 
 } // namespace
 
-Test(connection_trial, silence_counts_while_a_witness_answers)
+Test(connection_check, silence_counts_while_a_reference_answers)
 {
-    connection_trial trial(start);
-    judged const ended = look_until_judged(
-        trial,
+    connection_trial check(start);
+    check_result const result = run_check(
+        check,
         [](time_point)
         {
-            return witness_only;
+            return reference_only;
         });
-    cr_expect(ended.outcome == connection_outcome::unanswered);
-    cr_expect_eq(ended.after.count(), duration(100ms).count());
+    cr_expect(result.outcome == connection_outcome::unanswered);
+    cr_expect_eq(result.after.count(), duration(100ms).count());
 }
 
-Test(connection_trial, silence_of_everybody_shows_nothing)
+Test(connection_check, silence_of_all_is_inconclusive)
 {
-    // Symptom: living upstreams are found out of reach. Sequence: the VM's own
-    // link is full for longer than a check lasts. Cause: its lateness was taken
-    // for their silence.
-    connection_trial trial(start);
-    judged const ended = look_until_judged(
-        trial,
+    // Symptom: live upstreams are considered unreachable. Sequence: the VM's
+    // own link is full for longer than a check lasts. Cause: the VM took its
+    // own delay for the upstreams' silence.
+    connection_trial check(start);
+    check_result const result = run_check(
+        check,
         [](time_point)
         {
-            return nobody;
+            return no_answer;
         });
-    cr_expect(ended.outcome == connection_outcome::inconclusive);
+    cr_expect(result.outcome == connection_outcome::inconclusive);
 }
 
-Test(connection_trial, a_suspect_farther_away_gets_time_after_the_witness)
+Test(connection_check, a_suspect_farther_away_gets_time_after_the_reference)
 {
-    // Sequence: the link is full for 300 ms; the witness's answer comes then,
-    // the suspect's a moment later. Cause of a wrong end: time was counted from
-    // the start alone.
-    connection_trial trial(start);
-    judged const ended = look_until_judged(
-        trial,
+    // Symptom: a live upstream is considered unreachable. Sequence: the link is
+    // full for 300 ms; then the reference upstream's answer arrives, and the
+    // suspect's a moment later. Cause: time was counted only from the start of
+    // the check.
+    connection_trial check(start);
+    check_result const result = run_check(
+        check,
         [](time_point now)
         {
             if (now < start + 290ms)
-                return nobody;
-            return now < start + 320ms ? witness_only
+                return no_answer;
+            return now < start + 320ms ? reference_only
                                        : trial_look{
                                              connection_state::accepted,
                                              connection_state::accepted};
         });
-    cr_expect(ended.outcome == connection_outcome::connected);
+    cr_expect(result.outcome == connection_outcome::connected);
 }
 
-Test(connection_trial, a_process_that_stood_still_concludes_nothing)
+Test(connection_check, a_paused_process_is_inconclusive)
 {
-    // Symptom: flows are reset by a VM that was suspended. Sequence: it is
-    // suspended between the witness's answer and the suspect's, which is lost.
-    // Cause: the pause counted as the suspect's time.
-    connection_trial trial(start);
-    cr_expect_not(trial.judge(start + 50ms, witness_only).has_value());
-    auto const woken = trial.judge(start + 2s, witness_only);
-    cr_assert(woken.has_value());
-    cr_expect(*woken == connection_outcome::inconclusive);
+    // Symptom: a VM that was suspended resets flows. Sequence: it is suspended
+    // between the reference upstream's answer and the suspect's, which is lost.
+    // Cause: the pause was counted as time that the suspect had to answer.
+    connection_trial check(start);
+    cr_expect_not(check.judge(start + 50ms, reference_only).has_value());
+    auto const after_pause = check.judge(start + 2s, reference_only);
+    cr_assert(after_pause.has_value());
+    cr_expect(*after_pause == connection_outcome::inconclusive);
 }
 
-Test(connection_trial, any_answer_of_the_suspect_ends_it_at_once)
+Test(connection_check, any_answer_of_the_suspect_ends_it_at_once)
 {
     for (auto const& [state, outcome] :
          {std::pair(connection_state::accepted, connection_outcome::connected),
           std::pair(connection_state::refused, connection_outcome::refused)})
     {
-        connection_trial trial(start);
+        connection_trial check(start);
         auto const ended =
-            trial.judge(start + 2s, {state, connection_state::pending});
+            check.judge(start + 2s, {state, connection_state::pending});
         cr_assert(ended.has_value());
         cr_expect(*ended == outcome);
     }
 }
 
-Test(connection_trial, a_witness_that_refuses_is_one)
+Test(connection_check, a_refusing_reference_counts_as_answer)
 {
-    connection_trial trial(start);
-    judged const ended = look_until_judged(
-        trial,
+    connection_trial check(start);
+    check_result const result = run_check(
+        check,
         [](time_point)
         {
             return trial_look{
                 connection_state::pending, connection_state::refused};
         });
-    cr_expect(ended.outcome == connection_outcome::unanswered);
+    cr_expect(result.outcome == connection_outcome::unanswered);
 }
--- a/tests/tagging/test_evacuation.cpp
+++ b/tests/tagging/test_evacuation.cpp
@@ -22,20 +22,20 @@
     return std::holds_alternative<refuse_opening>(decided);
 }
 
-bool is_abroad(std::uint64_t instance)
+bool is_remote(std::uint64_t instance)
 {
     return instance == 3 || instance == 4;
 }
 
 } // namespace
 
-// Guards against openings that still go to a failure domain that is evacuated.
+// Guards against openings that still go to an evacuated failure domain.
 Test(evacuation, openings_go_to_other_failure_domains)
 {
     bench vm(make_two_domains());
     vm.evacuate({"perth"});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
-        cr_expect(is_abroad(vm.establish(flow)));
+        cr_expect(is_remote(vm.establish(flow)));
     vm.evacuate({});
     std::set<std::uint64_t> used;
     for (std::uint64_t flow = 21; flow <= 40; ++flow)
@@ -43,8 +43,9 @@
     cr_expect(used.contains(1) && used.contains(2));
 }
 
-// Guards against a move that piles all openings onto one upstream.
-Test(evacuation, the_others_share_the_openings)
+// Guards against an evacuation that sends all openings to one upstream instead
+// of balancing them over the remaining ones.
+Test(evacuation, openings_are_balanced_over_the_remaining_upstreams)
 {
     bench vm(make_two_domains());
     vm.evacuate({"perth"});
@@ -55,44 +56,45 @@
     cr_expect_eq(openings[4], 20);
 }
 
-// Guards against flows that end because their failure domain is evacuated.
-Test(evacuation, open_flows_live_on)
+// Guards against established flows that are ended because their failure domain
+// is evacuated.
+Test(evacuation, established_flows_continue)
 {
     bench vm(make_two_domains());
     auto const instance = vm.establish(1);
-    cr_assert_not(is_abroad(instance));
+    cr_assert_not(is_remote(instance));
     vm.take<reset_known_flow>();
     vm.evacuate({"perth"});
     vm.wait(2s);
     cr_expect_eq(bench::instance_of(vm.request(1, instance, 200)), instance);
     cr_expect(vm.take<reset_known_flow>().empty());
-    // Nor do those that another VM opened there.
+    // Flows that another VM opened there aren't ended either.
     cr_expect_eq(vm.go_on(77, 2), 2);
 }
 
-// Guards against copies and new offers of an opening that go where first
-// openings may not.
-Test(evacuation, openings_that_are_under_way_move)
+// Guards against retransmitted and retried openings that still go to an
+// evacuated failure domain, to which first openings no longer go.
+Test(evacuation, retried_openings_move)
 {
     bench vm(make_two_domains());
     vm.see_confirmations();
-    cr_assert_not(is_abroad(vm.open(1)));
+    cr_assert_not(is_remote(vm.open(1)));
     vm.evacuate({"perth"});
-    cr_expect(is_abroad(bench::instance_of(vm.open_copy(1, 1))));
-
-    bench offering(make_two_domains());
-    offering.see_confirmations();
-    cr_assert_not(is_abroad(offering.open(2)));
-    offering.evacuate({"perth"});
-    offering.advance(offering.settings.retry_after);
-    auto const repeated = offering.take<repeat_opening>();
+    cr_expect(is_remote(bench::instance_of(vm.open_copy(1, 1))));
+
+    bench retrying(make_two_domains());
+    retrying.see_confirmations();
+    cr_assert_not(is_remote(retrying.open(2)));
+    retrying.evacuate({"perth"});
+    retrying.advance(retrying.settings.retry_after);
+    auto const repeated = retrying.take<repeat_opening>();
     cr_assert_eq(repeated.size(), 1);
-    cr_expect(is_abroad(repeated[0].target.instance.value()));
+    cr_expect(is_remote(repeated[0].target.instance.value()));
 }
 
-// Guards against last resorts: upstreams that are missing or avoided are still
-// upstreams of a failure domain that is evacuated.
-Test(evacuation, nothing_outside_is_refused_at_once)
+// Guards against evacuated upstreams being chosen because no other is left: an
+// upstream that is missing or avoided is still evacuated.
+Test(evacuation, openings_are_refused_at_once_if_all_is_evacuated)
 {
     bench vm({make_upstream(1), make_upstream(2)});
     vm.evacuate({"perth"});
@@ -107,9 +109,9 @@
     cr_expect_neq(vm.open(3), 0);
 }
 
-// Guards against a VM that has just started and opens flows before it knows
-// what is evacuated.
-Test(evacuation, nothing_is_opened_before_evacuations_are_known)
+// Guards against a VM that has just started and opens flows before it knows the
+// evacuations.
+Test(evacuation, no_flow_is_opened_before_evacuations_are_known)
 {
     tagging_settings const settings;
     tag_router router(settings, make_failure_domain_id("perth"), router_seed);
@@ -123,8 +125,8 @@
     cr_expect(router.is_informed());
 }
 
-// Guards against an evacuation of one failure domain that ends another, and
-// against a name without upstreams that stops anything.
+// Guards against an evacuation that cancels the evacuation of another failure
+// domain, and against effects of a name that no upstream has.
 Test(evacuation, several_and_unknown_failure_domains)
 {
     auto upstreams = make_two_domains();
@@ -141,16 +143,17 @@
     cr_expect(is_refused(vm.pass(4, packet_phase::opening, 0)));
 }
 
-// Guards against a herd: all VMs come back to upstreams at once that may have
-// restarted meanwhile.
-Test(evacuation, upstreams_that_are_back_count_as_cold)
+// Guards against a thundering herd: after an evacuation all VMs return at once
+// to upstreams that may have restarted meanwhile.
+Test(evacuation, upstreams_are_cold_after_an_evacuation)
 {
     bench vm(make_two_domains());
     vm.list_routes({}, {{"main", 2s, 4.0}});
     vm.evacuate({"perth"});
     vm.evacuate({});
-    // This VM knows no other one, so it is not entitled to open flows there.
-    cr_expect(is_abroad(vm.establish(1)));
+    // This VM does not know its domain's VMs, so it may not open flows at cold
+    // upstreams.
+    cr_expect(is_remote(vm.establish(1)));
     vm.wait(2s);
-    cr_expect_not(is_abroad(vm.establish(2)));
+    cr_expect_not(is_remote(vm.establish(2)));
 }
--- a/tests/tagging/test_queue_delay_control.cpp
+++ b/tests/tagging/test_queue_delay_control.cpp
@@ -19,17 +19,17 @@
 constexpr int tries = 3;
 constexpr time_point start{1h};
 
-/// What became of the requests of some time.
+/// Results of the requests in a period.
 struct tally
 {
-    int asked = 0;
+    int requested = 0;
     int in_time = 0;
     int late = 0;
     int lost = 0;
 };
 
-/// A pool of upstreams with one queue, callers that try again at once, and VMs
-/// that each see their own callers only.
+/// Simulates a pool of upstreams with one queue, callers that retry at once,
+/// and VMs that see only their own callers.
 class loaded_pool
 {
 public:
@@ -38,7 +38,7 @@
     {
     }
 
-    /// Lets requests come at this rate for a while.
+    /// Simulates requests that arrive at this rate for a period.
     tally run(double per_second, duration length)
     {
         tally counted;
@@ -49,8 +49,8 @@
             this->now += std::chrono::duration_cast<duration>(
                 std::chrono::duration<double>(gaps(this->random)));
             this->finish_work(counted);
-            ++counted.asked;
-            this->ask(counted);
+            ++counted.requested;
+            this->send_request(counted);
         }
         return counted;
     }
@@ -66,12 +66,12 @@
 private:
     struct request
     {
-        time_point asked_at;
+        time_point sent_at;
         std::size_t vm = 0;
         time_point done_at{};
     };
 
-    void ask(tally& counted)
+    void send_request(tally& counted)
     {
         std::uniform_real_distribution<double> draws(0, 1);
         for (int attempt = 0; attempt < tries; ++attempt)
@@ -79,9 +79,9 @@
             std::size_t const vm = this->random() % this->controls.size();
             double const share =
                 this->has_control ? this->controls[vm].share(this->now) : 0.0;
-            bool const is_taken = draws(this->random) >= share &&
-                                  this->waiting.size() < queue_places;
-            if (!is_taken)
+            bool const is_admitted = draws(this->random) >= share &&
+                                     this->waiting.size() < queue_places;
+            if (!is_admitted)
                 continue;
             this->waiting.push_back({this->now, vm});
             return this->begin_work(this->now);
@@ -109,14 +109,14 @@
         {
             request const done = this->working.top();
             this->working.pop();
-            duration const waited = done.done_at - done.asked_at;
+            duration const waited = done.done_at - done.sent_at;
             ++(waited <= target ? counted.in_time : counted.late);
             this->controls[done.vm].note_answer(done.done_at, waited, target);
             this->begin_work(done.done_at);
         }
     }
 
-    struct later
+    struct ends_later
     {
         bool operator()(request const& first, request const& second) const
         {
@@ -129,17 +129,17 @@
     std::mt19937_64 random;
     time_point now = start;
     std::deque<request> waiting;
-    std::priority_queue<request, std::vector<request>, later> working;
+    std::priority_queue<request, std::vector<request>, ends_later> working;
 };
 
 constexpr double capacity_per_second = 875;
 
-/// Flows that a pool gets usually, each with several requests.
+/// Usual rate of new flows of a pool, each with several requests.
 constexpr double usual_flows_per_second = 150;
 
-/// A pool whose upstreams shed what waited for too long, which its VMs take for
-/// answers. Callers that are shed try again by another flow. Requests on flows
-/// that are open already cannot be refused.
+/// Simulates a pool whose upstreams shed requests that waited too long. The VMs
+/// count the shed ones as answered. Callers retry shed requests on another
+/// flow. Requests on open flows can't be refused.
 class shedding_pool
 {
 public:
@@ -148,7 +148,7 @@
     {
     }
 
-    /// Lets flows be opened at this rate for a while.
+    /// Simulates flows that are opened at this rate for a period.
     tally run(double per_second, duration length)
     {
         tally counted;
@@ -163,11 +163,11 @@
                      std::chrono::duration<double>(gaps(this->random))))
                 this->begin_flow(counted);
             while (!this->planned.empty() &&
-                   this->planned.top().asked_at <= this->now)
+                   this->planned.top().sent_at <= this->now)
             {
                 request const next = this->planned.top();
                 this->planned.pop();
-                ++counted.asked;
+                ++counted.requested;
                 this->waiting.push_back(next);
             }
             this->serve(counted);
@@ -183,27 +183,28 @@
 
     struct request
     {
-        /// When the caller wanted it, and when it came to the queue.
-        time_point asked_at;
+        /// When the caller first sent it.
+        time_point sent_at;
+        /// When it entered the queue.
         time_point queued_at;
         std::size_t vm = 0;
         int attempts = 1;
 
         bool operator<(request const& other) const
         {
-            return this->asked_at > other.asked_at;
+            return this->sent_at > other.sent_at;
         }
     };
 
-    /// Tries to open a flow until a VM takes it, or the attempts are used up.
-    bool open(request& wanted)
+    /// Tries to open a flow until a VM admits it or the attempts are used up.
+    bool try_open(request& opened)
     {
         std::uniform_real_distribution<double> draws(0, 1);
-        for (; wanted.attempts <= tries; ++wanted.attempts)
+        for (; opened.attempts <= tries; ++opened.attempts)
         {
-            wanted.vm = this->random() % this->controls.size();
+            opened.vm = this->random() % this->controls.size();
             if (draws(this->random) >=
-                this->controls[wanted.vm].share(this->now))
+                this->controls[opened.vm].share(this->now))
                 return true;
         }
         return false;
@@ -212,9 +213,9 @@
     void begin_flow(tally& counted)
     {
         request first{this->now, this->now};
-        if (!this->open(first))
+        if (!this->try_open(first))
         {
-            ++counted.asked;
+            ++counted.requested;
             ++counted.lost;
             return;
         }
@@ -225,16 +226,16 @@
         }
     }
 
-    void shed(request again, tally& counted)
+    void retry_shed_request(request retried, tally& counted)
     {
-        ++again.attempts;
-        again.queued_at = this->now;
-        if (!this->open(again))
+        ++retried.attempts;
+        retried.queued_at = this->now;
+        if (!this->try_open(retried))
         {
             ++counted.lost;
             return;
         }
-        this->waiting.push_back(again);
+        this->waiting.push_back(retried);
     }
 
     void serve(tally& counted)
@@ -252,14 +253,14 @@
                 this->now, waited + (is_shed ? duration() : work), target);
             if (is_shed)
             {
-                this->shed(next, counted);
+                this->retry_shed_request(next, counted);
                 continue;
             }
             this->free_time -= work;
-            bool const is_in_time = this->now + work <= next.asked_at + target;
+            bool const is_in_time = this->now + work <= next.sent_at + target;
             ++(is_in_time ? counted.in_time : counted.late);
         }
-        // Time of slots that nobody used is lost.
+        // Unused processing time of slots doesn't carry over.
         this->free_time =
             std::min<std::chrono::duration<double>>(this->free_time, work);
     }
@@ -274,10 +275,11 @@
 
 } // namespace
 
-// Symptom: in a burst all are served, and none in time. Sequence: three times
-// as many requests come as the upstreams can work on; their queues fill.
-// Cause: everybody waits as long as an answer may take.
-Test(queue_delay_control, in_a_burst_what_can_be_is_served_in_time)
+// Symptom: in a burst all requests are served, and none in time. Sequence:
+// three times as many requests arrive as the upstreams can process; their
+// queues fill. Cause: every request waits in the queue for as long as an answer
+// may take.
+Test(queue_delay_control, in_a_burst_most_of_the_capacity_is_served_in_time)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -289,7 +291,8 @@
                 (void)pool->run(1'500, 1s);
             auto const before = without.run(1'500, 4s);
             auto const after = with.run(1'500, 4s);
-            // The aim: at least two thirds of what could be in time is.
+            // Goal: at least two thirds of the requests that the upstreams can
+            // process are answered in time.
             cr_expect_gt(
                 after.in_time, capacity_per_second * 4 * 2 / 3,
                 "seed %lu, %zu VMs: %d in time, %d late, %d lost; without "
@@ -302,32 +305,32 @@
     }
 }
 
-// Symptom: in a burst of long flows upstreams shed and are late for seconds,
-// while few openings are refused. Sequence: flows that are taken bring requests
-// for as long as they live; upstreams that shed what waited too long keep the
-// delay at two thirds of the target, however many come. Cause: a share that
-// grows by so small an excess takes seconds, and by then too many flows are
-// open.
-Test(queue_delay_control, too_many_flows_are_refused_before_they_are_open)
+// Symptom: in a burst of long flows, upstreams shed requests and answer late
+// for seconds, while few openings are refused. Sequence: admitted flows bring
+// requests for their whole lifetime; upstreams that shed requests which waited
+// too long keep the delay at two thirds of the target, whatever the load.
+// Cause: the excess over the reference is so small that the refused share takes
+// seconds to grow, and by then too many flows are open.
+Test(queue_delay_control, excess_flows_are_refused_at_their_opening)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         shedding_pool pool(6, seed);
         (void)pool.run(usual_flows_per_second, 1s);
         auto const burst = pool.run(4 * usual_flows_per_second, 4s);
-        // The aim: .45 of what is asked is in time.
+        // Goal: .45 of the requests are answered in time.
         cr_expect_gt(
-            burst.in_time, 0.45 * burst.asked,
-            "seed %lu: %d asked, %d in time, %d late, %d lost",
-            static_cast<unsigned long>(seed), burst.asked, burst.in_time,
+            burst.in_time, 0.45 * burst.requested,
+            "seed %lu: %d requested, %d in time, %d late, %d lost",
+            static_cast<unsigned long>(seed), burst.requested, burst.in_time,
             burst.late, burst.lost);
     }
 }
 
-// Symptom: callers are refused while upstreams have time for them. Sequence:
-// the usual load, with its usual chance. Cause: a control that takes a few slow
-// requests for a queue.
-Test(queue_delay_control, nobody_is_refused_while_there_is_room)
+// Symptom: callers are refused while upstreams have free capacity. Sequence:
+// the usual load, with its usual random variation. Cause: the control takes a
+// few slow requests for a queue.
+Test(queue_delay_control, no_opening_is_refused_while_capacity_is_free)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -339,9 +342,10 @@
     }
 }
 
-// Symptom: callers are refused long after a burst. Cause: a share that falls
-// too slowly, or stays as nobody is let through to show that the queue is gone.
-Test(queue_delay_control, a_second_after_a_burst_all_are_taken)
+// Symptom: callers are refused long after a burst. Cause: the refused share
+// falls too slowly, or stays because no opening is admitted that would show
+// that the queue is empty.
+Test(queue_delay_control, all_openings_are_admitted_a_second_after_a_burst)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -355,7 +359,7 @@
     }
 }
 
-Test(queue_delay_control, without_a_target_or_news_nothing_is_refused)
+Test(queue_delay_control, nothing_is_refused_without_a_target_or_answers)
 {
     queue_delay_control control;
     for (int step = 0; step < 100; ++step)
@@ -371,5 +375,6 @@
         (void)control.share(now);
     }
     cr_expect_gt(control.share(start + 2s), 0.5);
-    cr_expect_eq(control.share(start + 3s), 0.0, "that was long ago");
+    cr_expect_eq(
+        control.share(start + 3s), 0.0, "the last answer was long ago");
 }
--- a/tests/tagging/test_restarted_upstream.cpp
+++ b/tests/tagging/test_restarted_upstream.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr incarnation first_life(1'772'409'600'000);
-constexpr incarnation second_life(1'772'409'605'000);
+constexpr incarnation earlier_incarnation(1'772'409'600'000);
+constexpr incarnation later_incarnation(1'772'409'605'000);
 
-registered_upstream start_of(std::uint64_t number, incarnation life)
+registered_upstream make_incarnation(std::uint64_t number, incarnation life)
 {
     registered_upstream upstream = make_upstream(number);
     upstream.life = life;
@@ -29,14 +29,13 @@
 
 } // namespace
 
-// Symptom: an upstream that started again gets no new flows for up to eight
-// seconds, while its neighbours are overloaded.
-// Sequence: it crashes, leaves openings unanswered, and starts again under its
-// number.
-// Cause: what was believed of the start before is taken for true of this one.
-Test(restarted_upstream, nothing_believed_of_the_earlier_start_holds)
+// Symptom: a restarted upstream gets no new flows for up to eight seconds,
+// while other upstreams are overloaded. Sequence: it crashes, leaves openings
+// unanswered, and restarts under the same instance number. Cause: the state of
+// the earlier incarnation is applied to the new one.
+Test(restarted_upstream, state_of_the_earlier_incarnation_is_dropped)
 {
-    bench vm({start_of(1, first_life)});
+    bench vm({make_incarnation(1, earlier_incarnation)});
     vm.see_confirmations();
     for (std::uint64_t flow = 1; flow <= 4; ++flow)
         vm.open(flow);
@@ -45,52 +44,60 @@
     cr_assert(vm.now < find(vm, 1).avoided_until);
     cr_assert(find(vm, 1).reach.is_doubted());
 
-    auto again = start_of(1, second_life);
+    auto again = make_incarnation(1, later_incarnation);
     again.cold_milliseconds = 2000;
     vm.list({again});
     cr_expect_eq(find(vm, 1).failures, 0);
     cr_expect(vm.now >= find(vm, 1).avoided_until);
     cr_expect_not(find(vm, 1).reach.is_doubted());
-    cr_expect(find(vm, 1).cold_until == vm.now + 2s, "it is cold again");
-    cr_expect(find(vm, 1).registered.life == second_life);
+    cr_expect(
+        find(vm, 1).cold_until == vm.now + 2s, "it is not in slow start again");
+    cr_expect(find(vm, 1).registered.life == later_incarnation);
 }
 
-// Symptom: new flows avoid an upstream that started again, as if it were full.
-// Sequence: it had many flows, crashes, and starts again.
-// Cause: flows that ended with its earlier start are counted until they expire.
-Test(restarted_upstream, flows_of_the_earlier_start_count_no_more)
+// Symptom: a restarted upstream gets no new flows, as if it were full.
+// Sequence: an upstream with many flows crashes and restarts.
+// Cause: flows that ended with the earlier incarnation are counted until they
+// expire.
+Test(restarted_upstream, flows_of_the_earlier_incarnation_are_not_counted)
 {
-    bench vm({start_of(1, first_life)});
+    bench vm({make_incarnation(1, earlier_incarnation)});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
         vm.establish(flow);
     cr_assert_eq(find(vm, 1).flows, 20);
-    vm.list({start_of(1, second_life)});
+    vm.list({make_incarnation(1, later_incarnation)});
     cr_expect_eq(find(vm, 1).flows, 0);
     cr_expect_eq(vm.router.flow_count(), 0);
 }
 
-// Symptom: a flow that lives is reset, or one that is dead hangs.
-// Sequence: flows are open at an upstream that starts again; one of them was
-// opened at the new start before this VM learned of it.
-// Cause: a VM that decides by itself which of them live. The upstream knows: it
-// resets what it does not hold.
-Test(restarted_upstream, open_flows_go_to_it_and_it_decides)
+// Symptom: a live flow is reset, or a dead flow hangs.
+// Sequence: an upstream with open flows restarts; one of the flows was opened
+// at the new incarnation before this VM learned of the restart. Cause: the VM
+// itself decides which of the flows are live. Only the upstream knows, and it
+// resets flows that it does not hold.
+Test(restarted_upstream, open_flows_are_forwarded_to_the_new_incarnation)
 {
-    bench vm({start_of(1, first_life), start_of(2, first_life)});
+    bench vm(
+        {make_incarnation(1, earlier_incarnation),
+         make_incarnation(2, earlier_incarnation)});
     std::uint64_t const chosen = vm.establish(7);
     std::vector<registered_upstream> const now{
-        start_of(1, second_life), start_of(2, second_life)};
+        make_incarnation(1, later_incarnation),
+        make_incarnation(2, later_incarnation)};
     vm.list(now);
     cr_expect(vm.take<reset_known_flow>().empty());
     cr_expect_eq(vm.go_on(7, chosen), chosen);
 }
 
-// Symptom: flows of an upstream that just started are reset.
-// Sequence: it falls silent, is checked, starts again; then the check ends.
-// Cause: what the check found of the earlier start is believed of this one.
-Test(restarted_upstream, a_check_of_the_earlier_start_says_nothing)
+// Symptom: flows of an upstream that has just restarted are reset.
+// Sequence: it falls silent, a check starts, it restarts, and the check ends.
+// Cause: the outcome of the check is applied to the new incarnation, though it
+// concerns the earlier one.
+Test(restarted_upstream, a_check_of_the_earlier_incarnation_is_ignored)
 {
-    bench vm({start_of(1, first_life), start_of(2, first_life)});
+    bench vm(
+        {make_incarnation(1, earlier_incarnation),
+         make_incarnation(2, earlier_incarnation)});
     std::uint64_t const chosen = vm.establish(7);
     vm.request(7, chosen);
     vm.wait(300ms);
@@ -99,24 +106,27 @@
     vm.request(7, chosen);
     auto const checks = vm.take<check_upstream>();
     cr_assert_eq(checks.size(), 1);
-    cr_expect(checks[0].life == first_life);
-    vm.list({start_of(1, second_life), start_of(2, second_life)});
+    cr_expect(checks[0].life == earlier_incarnation);
+    vm.list(
+        {make_incarnation(1, later_incarnation),
+         make_incarnation(2, later_incarnation)});
     vm.go_on(7, chosen);
-    vm.end_check(chosen, connection_outcome::unanswered, first_life);
+    vm.end_check(chosen, connection_outcome::unanswered, earlier_incarnation);
     cr_expect(vm.take<reset_known_flow>().empty());
     cr_expect_not(find(vm, chosen).reach.is_unreachable(vm.now));
 }
 
-// Symptom: beliefs of an upstream are lost each time that it is listed.
-// Sequence: it is listed again as it was, or missed in between.
-// Cause: a listing that is taken for a start.
-Test(restarted_upstream, the_same_start_keeps_what_is_believed)
+// Symptom: a VM loses an upstream's state each time the upstream is listed.
+// Sequence: the upstream is listed again with the same incarnation, also after
+// it was missing for a while.
+// Cause: a listing is taken for a restart.
+Test(restarted_upstream, the_same_incarnation_keeps_its_state)
 {
-    for (incarnation const life : {first_life, incarnation()})
+    for (incarnation const life : {earlier_incarnation, incarnation()})
     {
-        bench vm({start_of(1, life), start_of(2, life)});
+        bench vm({make_incarnation(1, life), make_incarnation(2, life)});
         std::uint64_t const chosen = vm.establish(7);
-        auto changed = start_of(chosen, life);
+        auto changed = make_incarnation(chosen, life);
         changed.slots = 9;
         vm.list({changed});
         vm.list({});
@@ -125,15 +135,15 @@
     }
 }
 
-// Symptom: a reborn upstream is treated by VMs as they happen to know it.
-// Sequence: entries of another version of the upstreams' software, which do not
-// say when they started, are followed by such that do, or the reverse.
-// Cause: none of the two is known to be the same start as the other; another
-// way of telling shows another process.
-Test(restarted_upstream, one_that_begins_to_tell_its_start_has_started)
+// Symptom: VMs differ in whether they consider an upstream restarted.
+// Sequence: an entry without an incarnation, from another version of the
+// upstreams' software, is followed by an entry with one, or the reverse.
+// Cause: the two entries can't be shown to be of the same incarnation. That one
+// has an incarnation and the other has none shows that the process is another.
+Test(restarted_upstream, an_entry_that_gains_an_incarnation_is_a_restart)
 {
-    bench vm({start_of(1, incarnation())});
+    bench vm({make_incarnation(1, incarnation())});
     vm.establish(7);
-    vm.list({start_of(1, first_life)});
+    vm.list({make_incarnation(1, earlier_incarnation)});
     cr_expect_eq(find(vm, 1).flows, 0);
 }
--- a/tests/tagging/test_taken_over_address.cpp
+++ b/tests/tagging/test_taken_over_address.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-constexpr incarnation earlier_life(1'000);
-constexpr incarnation later_life(2'000);
+constexpr incarnation earlier_incarnation(1'000);
+constexpr incarnation later_incarnation(2'000);
 
-/// The upstream with this number at the address of number 1.
+/// Returns the upstream with this number, registered at the address of
+/// number 1.
 registered_upstream at_first_address(std::uint64_t number)
 {
     auto upstream = make_upstream(number, "other");
@@ -19,7 +20,7 @@
     return upstream;
 }
 
-bool is_ended(effect const& decided)
+bool ends_flow(effect const& decided)
 {
     auto const* const dropped = std::get_if<drop_packet>(&decided);
     return dropped != nullptr &&
@@ -28,11 +29,11 @@
 
 } // namespace
 
-// Symptom: callers wait until their deadlines for answers on flows that were
-// open before. Sequence: upstreams crash while callers pause; two seconds later
-// their addresses belong to upstreams of another service, which ignore packets
-// that are meant for others. Callers go on. Cause: whoever checks the silent
-// upstream reaches the one that has its address now.
+// Symptom: callers wait until their deadlines for answers on flows opened
+// before a crash. Sequence: upstreams crash while their callers are idle; two
+// seconds later their addresses belong to upstreams of another service, which
+// ignore packets meant for others; then callers send requests again. Cause: a
+// check of the silent upstream reaches the upstream that has its address now.
 Test(taken_over_address, flows_of_the_earlier_upstream_end_at_once)
 {
     for (bool const is_still_listed : {false, true})
@@ -52,18 +53,18 @@
     }
 }
 
-Test(taken_over_address, a_packet_of_a_flow_that_passed_elsewhere_is_answered)
+Test(taken_over_address, a_packet_of_a_flow_of_another_vm_is_answered)
 {
     bench vm({make_upstream(1)});
     vm.list({make_upstream(1), at_first_address(2)});
-    cr_expect(is_ended(vm.request(7, 1)));
+    cr_expect(ends_flow(vm.request(7, 1)));
     auto const resets = vm.take<reset_known_flow>();
     cr_assert_eq(resets.size(), 1);
     cr_expect_eq(resets.front().caller.port, 7);
     cr_expect_eq(resets.front().acknowledged, 500);
     cr_expect_eq(vm.router.flow_count(), 0);
-    // The caller's own reset needs no answer.
-    cr_expect(is_ended(vm.pass(8, packet_phase::reset, 1)));
+    // A reset that the caller sends needs no answer.
+    cr_expect(ends_flow(vm.pass(8, packet_phase::reset, 1)));
     cr_expect(vm.take<reset_known_flow>().empty());
 }
 
@@ -75,33 +76,35 @@
         cr_expect_eq(vm.establish(flow), 3);
 }
 
-// Symptom: a flow of an upstream that lives is reset. Cause: which of two came
-// later was guessed.
-Test(taken_over_address, nothing_ends_where_the_order_is_not_known)
+// Symptom: a flow of a live upstream is reset. Cause: the VM guessed which of
+// two upstreams registered later.
+Test(taken_over_address, no_flow_ends_if_the_order_is_unknown)
 {
-    // Both come with the first listing.
+    // The first listing contains both.
     bench fresh({make_upstream(1), at_first_address(2)});
     cr_expect_eq(bench::instance_of(fresh.request(7, 1)), 1);
     cr_expect_eq(bench::instance_of(fresh.request(8, 2)), 2);
 
-    // The later entry tells of an earlier start.
+    // The later entry has the earlier incarnation.
     auto first = make_upstream(1);
-    first.life = later_life;
+    first.life = later_incarnation;
     auto stray = at_first_address(2);
-    stray.life = earlier_life;
+    stray.life = earlier_incarnation;
     bench vm({first});
     vm.list({first, stray});
     cr_expect_eq(bench::instance_of(vm.request(7, 1)), 1);
 
-    // An entry vanishes and comes back, as when the store was away.
+    // An entry vanishes and returns, as after an outage of the metadata store.
     bench back({make_upstream(1)});
     back.list({});
     back.list({make_upstream(1)});
     cr_expect_eq(bench::instance_of(back.request(7, 1)), 1);
 }
 
-// Symptom: as above. Sequence: the entry at the address was wrong and is gone.
-Test(taken_over_address, an_entry_that_is_gone_takes_nothing_over)
+// Symptom: a flow of a live upstream is reset. Sequence: a wrong entry with the
+// upstream's address is listed and then removed. Cause: the removed entry still
+// counts as having taken over the address.
+Test(taken_over_address, a_removed_entry_takes_no_address_over)
 {
     bench vm({make_upstream(1)});
     vm.list({make_upstream(1), at_first_address(2)});
--- a/tests/tagging/test_upstream_reach.cpp
+++ b/tests/tagging/test_upstream_reach.cpp
@@ -13,8 +13,8 @@
 constexpr time_point start{1h};
 tagging_settings const settings;
 
-/// An upstream about which a check runs.
-upstream_reach make_checked()
+/// Returns the state of a silent upstream with a running check.
+upstream_reach make_checking()
 {
     upstream_reach reach;
     reach.note_answered(start - 1s);
@@ -23,87 +23,92 @@
     return reach;
 }
 
-reach_change
-end(upstream_reach& reach, connection_outcome outcome, duration after = 100ms)
+reach_change end_check(
+    upstream_reach& reach, connection_outcome outcome, duration after = 100ms)
 {
     return reach.end_check(start + after, outcome, settings);
 }
 
 } // namespace
 
-Test(upstream_reach, a_check_that_finds_nobody_permits_to_end_flows)
+Test(upstream_reach, an_unanswered_check_permits_ending_flows)
 {
-    upstream_reach reach = make_checked();
+    upstream_reach reach = make_checking();
     cr_expect(
-        end(reach, connection_outcome::unanswered) ==
+        end_check(reach, connection_outcome::unanswered) ==
         reach_change::found_unreachable);
     cr_expect(reach.is_unreachable(start + 200ms));
     cr_expect(reach.is_doubted());
 }
 
-Test(upstream_reach, an_answer_makes_a_running_check_void)
+Test(upstream_reach, an_answer_invalidates_a_running_check)
 {
-    upstream_reach reach = make_checked();
+    upstream_reach reach = make_checking();
     reach.note_answered(start + 50ms);
-    cr_expect(end(reach, connection_outcome::unanswered) == reach_change::none);
+    cr_expect(
+        end_check(reach, connection_outcome::unanswered) == reach_change::none);
     cr_expect_not(reach.is_unreachable(start + 200ms));
 }
 
-Test(upstream_reach, a_check_stays_void_when_doubt_returns)
+Test(upstream_reach, a_check_stays_invalid_when_silence_returns)
 {
-    // Symptom: a living upstream's flows end. Sequence: it answers while a
-    // check runs, and a caller repeats itself before the check ends. Cause: the
-    // check counted for the new doubt, which it began before.
-    upstream_reach reach = make_checked();
+    // Symptom: a live upstream's flows are ended. Sequence: it answers while a
+    // check runs, and a caller retransmits before the check ends. Cause: the
+    // check was counted for the new silence, although it began before that.
+    upstream_reach reach = make_checking();
     reach.note_answered(start + 50ms);
     reach.note_silent(start + 60ms);
-    cr_expect(end(reach, connection_outcome::unanswered) == reach_change::none);
+    cr_expect(
+        end_check(reach, connection_outcome::unanswered) == reach_change::none);
 }
 
 Test(upstream_reach, only_one_check_runs)
 {
-    upstream_reach reach = make_checked();
+    upstream_reach reach = make_checking();
     cr_expect_not(reach.is_check_due(start + 1min, settings));
-    end(reach, connection_outcome::unanswered);
+    end_check(reach, connection_outcome::unanswered);
     cr_expect(reach.is_check_due(start + 1min, settings));
 }
 
-Test(upstream_reach, no_conclusion_is_tried_again_soon)
+Test(upstream_reach, an_inconclusive_check_is_retried_soon)
 {
-    upstream_reach reach = make_checked();
+    upstream_reach reach = make_checking();
     cr_expect(
-        end(reach, connection_outcome::inconclusive) == reach_change::none);
+        end_check(reach, connection_outcome::inconclusive) ==
+        reach_change::none);
     cr_expect(reach.is_doubted());
     cr_expect_not(reach.is_check_due(start + 200ms, settings));
     cr_expect(
         reach.is_check_due(start + 100ms + settings.check_after, settings));
 }
 
-Test(upstream_reach, a_belief_ends_by_itself)
+Test(upstream_reach, unreachability_expires)
 {
-    upstream_reach reach = make_checked();
-    end(reach, connection_outcome::unanswered);
+    upstream_reach reach = make_checking();
+    end_check(reach, connection_outcome::unanswered);
     cr_expect_not(reach.is_unreachable(start + 100ms + 3 * 1s));
 }
 
 Test(upstream_reach, an_earlier_answer_does_not_end_the_silence)
 {
-    upstream_reach reach = make_checked();
+    upstream_reach reach = make_checking();
     reach.note_answered(start - 10ms);
     cr_expect(reach.is_doubted());
 }
 
-Test(upstream_reach, never_blames_one_that_answered_after_the_check_began)
+Test(
+    upstream_reach,
+    an_upstream_that_answered_after_the_start_is_not_unreachable)
 {
-    // Whatever the order of events, `found_unreachable` comes only from a check
-    // that began after the last answer.
+    // In every order of events, only a check that began after the last answer
+    // gives `found_unreachable`.
     std::mt19937_64 random(20261202);
     for (int sequence = 0; sequence < 2'000; ++sequence)
     {
         upstream_reach reach;
         time_point now = start;
         time_point last_answer{};
-        std::optional<time_point> began;
+        std::optional<time_point> started_at;
         for (int step = 0; step < 40; ++step)
         {
             now += std::chrono::milliseconds(1 + random() % 400);
@@ -120,22 +125,23 @@
                 reach.hasten_check(now);
                 break;
             case 3:
-                if (began || !reach.is_check_due(now, settings))
+                if (started_at || !reach.is_check_due(now, settings))
                     break;
                 reach.start_check(now, settings);
-                began = now;
+                started_at = now;
                 break;
             default:
-                if (!began)
+                if (!started_at)
                     break;
                 auto const outcome =
                     static_cast<connection_outcome>(random() % 4);
                 auto const change = reach.end_check(now, outcome, settings);
-                bool const blames = change == reach_change::found_unreachable;
+                bool const is_found_unreachable =
+                    change == reach_change::found_unreachable;
                 cr_assert(
-                    !blames || *began > last_answer, "sequence %d, step %d",
-                    sequence, step);
-                began.reset();
+                    !is_found_unreachable || *started_at > last_answer,
+                    "sequence %d, step %d", sequence, step);
+                started_at.reset();
             }
         }
     }
