--- a/libraries/versions/backoff.cpp
+++ b/libraries/versions/backoff.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// More doublings than any maximum allows; keeps the shift in range.
+/// Keeps the shift in range; more doublings than any maximum delay allows.
 constexpr std::uint32_t maximum_doublings = 20;
 
 } // namespace
@@ -20,23 +20,23 @@
 
 time_point backoff::fail(time_point now, version_random& random)
 {
-    auto const doublings = std::min(this->failed, maximum_doublings);
+    auto const doublings = std::min(this->failure_count, maximum_doublings);
     auto const factor = std::int64_t{1} << doublings;
     auto const full = std::min(this->minimum * factor, this->maximum);
-    ++this->failed;
-    std::uniform_int_distribution<duration::rep> part(
+    ++this->failure_count;
+    std::uniform_int_distribution<duration::rep> jittered(
         full.count() / 2, full.count());
-    return now + duration(part(random));
+    return now + duration(jittered(random));
 }
 
 void backoff::reset()
 {
-    this->failed = 0;
+    this->failure_count = 0;
 }
 
 std::uint32_t backoff::failures() const
 {
-    return this->failed;
+    return this->failure_count;
 }
 
 } // namespace cairnhead
--- a/libraries/versions/backoff.hpp
+++ b/libraries/versions/backoff.hpp
@@ -8,32 +8,35 @@
 namespace cairnhead
 {
 
-/// The random numbers of one version store; seeded, so that runs repeat.
+/// The random number generator of a version store; seeded, so that runs are
+/// reproducible.
 using version_random = std::mt19937_64;
 
-/// Growing delays between attempts that fail: doubled each time up to a
-/// maximum, and cut by a random part of up to half. Without the random part
-/// all VMs would ask a platform that comes back in the same instant.
-/// Thread safety of all methods: none.
+/// Exponential back-off with jitter: the delay doubles with each failure up to
+/// a maximum, and is reduced by a random part of up to half. Without the jitter
+/// all VMs would call a platform that has recovered at the same instant.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class backoff
 {
 public:
     /// Precondition: 0 < shortest <= longest.
     backoff(duration shortest, duration longest);
 
-    /// Notes a failure; when to try next. No precondition.
+    /// Records a failure and returns when to retry.
     [[nodiscard]] time_point fail(time_point now, version_random& random);
 
-    /// The next failure is the first again. No precondition.
+    /// Restarts with the shortest delay.
     void reset();
 
-    /// Failures since the last reset. No precondition.
+    /// Failures since the last reset.
     [[nodiscard]] std::uint32_t failures() const;
 
 private:
     duration minimum;
     duration maximum;
-    std::uint32_t failed = 0;
+    std::uint32_t failure_count = 0;
 };
 
 } // namespace cairnhead
--- a/libraries/versions/fetch_queue.cpp
+++ b/libraries/versions/fetch_queue.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-fetch_queue::wanted_document& fetch_queue::want(std::string_view name)
+fetch_queue::wanted_document& fetch_queue::find_or_add(std::string_view name)
 {
     backoff const fresh(
         this->settings.backoff_minimum, this->settings.backoff_maximum);
@@ -21,7 +21,7 @@
 void fetch_queue::note_peer(
     std::string_view name, vm_id peer, document_version version)
 {
-    auto& item = this->want(name);
+    auto& item = this->find_or_add(name);
     auto const earlier_target = get_target(item);
     auto known = std::ranges::find(item.peers, peer, &announcement::peer);
     if (known == item.peers.end() && item.peers.size() < maximum_sources)
@@ -38,7 +38,7 @@
 
 void fetch_queue::note_platform(std::string_view name, document_version version)
 {
-    auto& item = this->want(name);
+    auto& item = this->find_or_add(name);
     auto const earlier_target = get_target(item);
     if (item.platform_version >= version)
         return;
@@ -53,7 +53,7 @@
     item.next_start = {};
     if (get_target(item) == earlier_target)
         return;
-    // Failures to get an earlier version say nothing about this one.
+    // Failures to fetch an earlier version say nothing about this one.
     item.tried.clear();
     item.delay.reset();
 }
@@ -65,11 +65,11 @@
         reachable.insert(peer.id);
     for (auto& [name, item] : this->wanted)
     {
-        auto const is_gone = [&reachable](announcement const& from)
+        auto const is_unreachable = [&reachable](announcement const& from)
         {
             return !reachable.contains(from.peer);
         };
-        std::erase_if(item.peers, is_gone);
+        std::erase_if(item.peers, is_unreachable);
         if (!item.running || !item.running->source)
             continue;
         if (!reachable.contains(*item.running->source))
@@ -143,7 +143,7 @@
     item.running.reset();
 }
 
-void fetch_queue::end_late(time_point now)
+void fetch_queue::end_timed_out(time_point now)
 {
     for (auto& [name, item] : this->wanted)
     {
@@ -170,7 +170,7 @@
             continue;
         return from.peer;
     }
-    // The platform may have the version although its last listing did not.
+    // The platform may have the version although its last listing lacked it.
     auto const may_ask_platform =
         access != platform_access::none && !is_accepted_name(name);
     if (may_ask_platform && !was_tried(item, std::nullopt))
@@ -184,7 +184,7 @@
     version_random& random,
     effect_list& effects)
 {
-    this->end_late(now);
+    this->end_timed_out(now);
     auto running = this->count_running();
     for (auto& [name, item] : this->wanted)
     {
@@ -240,7 +240,7 @@
         this->wanted,
         [](auto const& entry)
         {
-            return entry.second.delay.failures() < rounds_until_given_up;
+            return entry.second.delay.failures() < maximum_blocking_rounds;
         });
 }
 
--- a/libraries/versions/fetch_queue.hpp
+++ b/libraries/versions/fetch_queue.hpp
@@ -17,66 +17,73 @@
 namespace cairnhead
 {
 
-/// Texts arrive in memory before they are judged; this bounds how many.
+/// Bounds how many fetches run at once, because their texts are held in memory
+/// until they are validated.
 inline constexpr std::size_t maximum_fetches = 16;
 
-/// Peers remembered for one wanted document.
+/// How many peers are remembered as sources of one wanted document.
 inline constexpr std::size_t maximum_sources = 8;
 
-/// A document that failed at every source this often no longer holds back a
-/// joiner: one organisation's document must not keep the others waiting.
-inline constexpr std::uint32_t rounds_until_given_up = 3;
-
-/// Documents that someone has in a higher version than this VM, and who to
-/// fetch them from: each announcer in turn, then the platform, again after a
-/// back-off. What only vanished peers had is no longer wanted: it cannot be
-/// had, and waiting for it would refuse what the others have.
-/// Thread safety of all methods: none.
+/// A document that failed at every source in this many rounds no longer delays
+/// a joiner: one organisation's document must not keep the others waiting.
+inline constexpr std::uint32_t maximum_blocking_rounds = 3;
+
+/// Fetches documents that a peer or the platform has in a higher version than
+/// this VM: from each peer that announced the version in turn, then from the
+/// platform, and again after a back-off. A version that only unreachable peers
+/// had is no longer wanted: it cannot be fetched, and waiting for it would
+/// refuse the versions that the other peers have.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class fetch_queue
 {
 public:
     explicit fetch_queue(version_settings const& chosen);
 
-    /// A peer holds this version. Precondition: it is above the one held.
+    /// Records that a peer holds this version. Precondition: the version is
+    /// above the one that this VM holds.
     void note_peer(std::string_view name, vm_id peer, document_version version);
 
-    /// The platform lists this version. Precondition: as `note_peer`.
+    /// Records that the platform lists this version. Precondition: as for
+    /// `record_peer`.
     void note_platform(std::string_view name, document_version version);
 
-    /// Forgets what peers other than these announced. No precondition.
+    /// Removes the announcements of all peers but these.
     void keep_peers(std::span<document_peer const> peers);
 
-    /// The highest version known of and not held. No precondition.
+    /// The highest version that this VM knows of and does not hold.
     [[nodiscard]] std::optional<document_version>
     wanted_version(std::string_view name) const;
 
-    /// Names of all wanted documents. No precondition.
+    /// Names of all wanted documents.
     [[nodiscard]] std::vector<std::string> names() const;
 
-    /// This version is held now. No precondition.
+    /// Records that this VM holds this version now.
     void satisfy(std::string_view name, document_version held);
 
-    /// The source has no text to give. No precondition.
+    /// The source has no text of the document.
     void fail(std::string_view name, std::optional<vm_id> source);
 
-    /// The source gave a lower version than is wanted now. It counts as tried
-    /// only if it was asked for more than it gave. No precondition.
+    /// The source returned a lower version than is wanted now. It counts as
+    /// tried only if a higher version was requested than it returned.
     void fail_lower(
         std::string_view name,
         std::optional<vm_id> source,
         document_version version);
 
-    /// Gives up what is late and starts what may start. No precondition.
+    /// Ends the fetches that have timed out and starts those that are due.
     void start_due(
         time_point now,
         platform_access access,
         version_random& random,
         effect_list& effects);
 
-    /// Whether anything is wanted. No precondition.
+    /// Whether no document is wanted.
     [[nodiscard]] bool empty() const;
 
-    /// Whether anything is wanted that was not given up. No precondition.
+    /// Whether a document is wanted that has not yet failed in
+    /// `maximum_blocking_rounds` rounds.
     [[nodiscard]] bool is_blocking() const;
 
 private:
@@ -105,7 +112,7 @@
         time_point next_start;
     };
 
-    wanted_document& want(std::string_view name);
+    wanted_document& find_or_add(std::string_view name);
     static void
     retry_at_once(wanted_document& item, document_version earlier_target);
     static document_version get_target(wanted_document const& item);
@@ -115,7 +122,7 @@
         std::string_view name,
         wanted_document const& item,
         platform_access access);
-    void end_late(time_point now);
+    void end_timed_out(time_point now);
     void start(
         time_point now,
         std::string const& name,
--- a/libraries/versions/joiner_line.cpp
+++ b/libraries/versions/joiner_line.cpp
@@ -8,25 +8,28 @@
 namespace
 {
 
-/// A VM serves so many joiners in a period, of which each takes a connection
-/// and the registry.
+/// How many joiners a VM serves in a period; each takes a connection and the
+/// registry.
 constexpr std::size_t turns_per_period = 4;
 constexpr duration period = std::chrono::milliseconds(100);
 
-/// Who is told to wait gets its turn within two periods once the documents are
-/// here.
-constexpr std::size_t places_in_line = 2 * turns_per_period;
+/// Bounds the queue so that a queued joiner is served within two periods once
+/// this VM has the documents.
+constexpr std::size_t maximum_queue_length = 2 * turns_per_period;
 
-/// Joiners are named so many others: one that is gone costs them no time.
-constexpr std::size_t named_holders = 2;
+/// How many VMs a referral names: if one of them has stopped, the joiner loses
+/// no time.
+constexpr std::size_t holders_per_referral = 2;
 
-/// VMs of one start come within a second, and ask again where that failed.
+/// How long a request or an announcement is remembered: VMs that start together
+/// ask within a second, and ask again if that failed.
 constexpr duration arrival_memory = std::chrono::seconds(3);
 
 /// Bounds what a flood of requests can make this VM remember.
 constexpr std::size_t maximum_arrivals = 4'096;
 
-/// Of these each joiner of the domain is named two.
+/// Bounds how many holders of a domain are remembered; each joiner of the
+/// domain is referred to two of them.
 constexpr std::size_t maximum_holders = 16;
 
 } // namespace
@@ -43,69 +46,72 @@
     time_point now,
     vm_id joiner,
     join_request const& request,
-    situation const& known)
+    local_state const& local)
 {
-    arrivals const& came = note_arrival(
-        now, joiner, this->recent[request.domain], maximum_arrivals);
-    // Who was sent here is served here: it would be sent around otherwise. So
-    // is who asks again: those that it was sent to may be gone.
-    bool const is_asking_again = request.attempt > 0 && known.has_documents;
-    if (request.is_referred || is_asking_again)
+    arrivals const& domain_arrivals = record_arrival(
+        now, joiner, this->recent_joiners[request.domain], maximum_arrivals);
+    // A joiner that was referred to this VM is served here; otherwise it would
+    // be referred from VM to VM. So is a joiner that asks again: the VMs that
+    // it was referred to may have stopped.
+    bool const is_retry = request.attempt > 0 && local.has_documents;
+    if (request.is_referred || is_retry)
     {
         if (!this->has_room_for(joiner))
-            return this->refer_to_line(joiner);
-        this->admit(joiner);
+            return this->refer_to_queued(joiner);
+        this->enqueue(joiner);
         return std::nullopt;
     }
-    if (auto referral = this->refer_to_members(joiner, request.domain, known))
+    if (auto referral = this->refer_to_members(joiner, request.domain, local))
         return referral;
     if (auto referral = this->refer_to_holders(now, joiner, request.domain))
         return referral;
-    return this->refer_by_arrival(joiner, request, came, known.has_documents);
+    return this->refer_by_arrival(
+        joiner, request, domain_arrivals, local.has_documents);
 }
 
-joiner_line::arrivals& joiner_line::note_arrival(
-    time_point now, vm_id vm, arrivals& came, std::size_t most)
+joiner_line::arrivals& joiner_line::record_arrival(
+    time_point now, vm_id vm, arrivals& recorded, std::size_t limit)
 {
     std::erase_if(
-        came,
+        recorded,
         [now](arrival const& each)
         {
             return now > each.asked_at + arrival_memory;
         });
-    auto const known = std::ranges::find(came, vm, &arrival::vm);
-    if (known == came.end() && came.size() < most)
-        came.push_back({vm, now});
-    return came;
+    auto const found = std::ranges::find(recorded, vm, &arrival::vm);
+    if (found == recorded.end() && recorded.size() < limit)
+        recorded.push_back({vm, now});
+    return recorded;
 }
 
 void joiner_line::note_holder(
     time_point now, vm_id holder, failure_domain_id domain)
 {
-    note_arrival(now, holder, this->holders[domain], maximum_holders);
+    record_arrival(now, holder, this->holders[domain], maximum_holders);
 }
 
 bool joiner_line::has_room_for(vm_id joiner) const
 {
-    bool const is_waiting =
-        std::ranges::find(this->line, joiner) != this->line.end();
-    return is_waiting || this->line.size() < places_in_line;
+    bool const is_queued =
+        std::ranges::find(this->queue, joiner) != this->queue.end();
+    return is_queued || this->queue.size() < maximum_queue_length;
 }
 
-void joiner_line::admit(vm_id joiner)
+void joiner_line::enqueue(vm_id joiner)
 {
-    if (std::ranges::find(this->line, joiner) == this->line.end())
-        this->line.push_back(joiner);
+    if (std::ranges::find(this->queue, joiner) == this->queue.end())
+        this->queue.push_back(joiner);
 }
 
-std::optional<join_referral> joiner_line::refer_to_line(vm_id joiner)
+std::optional<join_referral> joiner_line::refer_to_queued(vm_id joiner)
 {
-    // One after the other, so that those below get as many each.
+    // The queued joiners are named in turn, so that each receives as many
+    // referred joiners.
     join_referral referral;
-    for (std::size_t named = 0; named < named_holders; ++named)
+    for (std::size_t named = 0; named < holders_per_referral; ++named)
     {
         vm_id const holder =
-            this->line[this->next_of_line++ % this->line.size()];
+            this->queue[this->next_queued++ % this->queue.size()];
         if (holder != joiner)
             referral.holders.push_back(holder);
     }
@@ -113,10 +119,10 @@
 }
 
 std::optional<join_referral> joiner_line::refer_to_members(
-    vm_id joiner, failure_domain_id domain, situation const& known)
+    vm_id joiner, failure_domain_id domain, local_state const& local)
 {
     std::vector<vm_id> members;
-    for (document_peer const& peer : known.peers)
+    for (document_peer const& peer : local.peers)
     {
         if (peer.domain == domain && peer.id != joiner)
             members.push_back(peer.id);
@@ -130,12 +136,13 @@
     time_point now, vm_id joiner, failure_domain_id domain)
 {
     join_referral referral;
-    arrivals const& known = this->holders[domain];
-    for (std::size_t named = 0; named < named_holders && !known.empty();
-         ++named)
+    arrivals const& domain_holders = this->holders[domain];
+    for (std::size_t named = 0;
+         named < holders_per_referral && !domain_holders.empty(); ++named)
     {
-        // One after the other, so that each gets as many.
-        arrival const& holder = known[this->next_holder++ % known.size()];
+        // The holders are named in turn, so that each receives as many joiners.
+        arrival const& holder =
+            domain_holders[this->next_holder++ % domain_holders.size()];
         bool const is_recent = now <= holder.asked_at + arrival_memory;
         if (is_recent && holder.vm != joiner)
             referral.holders.push_back(holder.vm);
@@ -148,57 +155,61 @@
 std::optional<join_referral> joiner_line::refer_by_arrival(
     vm_id joiner,
     join_request const& request,
-    arrivals const& came,
+    arrivals const& domain_arrivals,
     bool has_documents)
 {
-    auto const found = std::ranges::find(came, joiner, &arrival::vm);
-    auto const place = static_cast<std::size_t>(found - came.begin());
-    // Whom it was sent to did not serve it; someone else may.
-    if (request.attempt > 0 && came.size() > 1)
+    auto const found = std::ranges::find(domain_arrivals, joiner, &arrival::vm);
+    auto const place =
+        static_cast<std::size_t>(found - domain_arrivals.begin());
+    // The VMs that the joiner was referred to did not serve it; others may.
+    if (request.attempt > 0 && domain_arrivals.size() > 1)
     {
         std::vector<vm_id> others;
-        for (arrival const& other : came)
+        for (arrival const& other : domain_arrivals)
         {
             if (other.vm != joiner)
                 others.push_back(other.vm);
         }
         return join_referral{this->sample(std::move(others)), false};
     }
-    // In its own failure domain this VM is the root; in another one the first
-    // that came is, and gets the documents from here or from the platform.
+    // In its own failure domain this VM is the root of the tree. In another
+    // domain the first joiner is the root, and receives the documents from this
+    // VM or from the platform.
     bool const is_root_here = request.domain == this->self.domain;
     std::size_t const roots = is_root_here ? this->fanout : 1;
     if (place < roots)
     {
-        this->admit(joiner);
+        this->enqueue(joiner);
         bool const is_to_read = !is_root_here && !has_documents;
         return is_to_read ? std::optional(join_referral{{}, true})
                           : std::nullopt;
     }
     std::size_t const parent = (place - roots) / this->fanout;
-    return join_referral{{came[parent].vm}, false};
+    return join_referral{{domain_arrivals[parent].vm}, false};
 }
 
 std::vector<vm_id> joiner_line::sample(std::vector<vm_id> candidates)
 {
     std::vector<vm_id> chosen;
     std::ranges::sample(
-        candidates, std::back_inserter(chosen), named_holders, this->random);
+        candidates, std::back_inserter(chosen), holders_per_referral,
+        this->random);
     return chosen;
 }
 
 std::vector<vm_id> joiner_line::take_due(time_point now)
 {
-    if (now >= this->next_turn_at)
+    if (now >= this->next_period_at)
     {
-        this->next_turn_at = now + period;
-        this->turns = turns_per_period;
+        this->next_period_at = now + period;
+        this->remaining_turns = turns_per_period;
     }
     std::vector<vm_id> due;
-    for (; this->turns > 0 && !this->line.empty(); --this->turns)
+    for (; this->remaining_turns > 0 && !this->queue.empty();
+         --this->remaining_turns)
     {
-        due.push_back(this->line.front());
-        this->line.pop_front();
+        due.push_back(this->queue.front());
+        this->queue.pop_front();
     }
     return due;
 }
--- a/libraries/versions/joiner_line.hpp
+++ b/libraries/versions/joiner_line.hpp
@@ -15,18 +15,22 @@
 namespace cairnhead
 {
 
-/// Who gets documents from this VM, and whom the others are to ask.
+/// Decides which joiners receive documents from this VM, and which other VMs
+/// the rest are referred to.
 ///
-/// Load that this answers: all VMs of a fleet, or of a rack, start at once.
-/// They know a few addresses, the same for all. If those served everybody, each
-/// would carry the whole registry as often as there are VMs, over links and
-/// processors of the size that all VMs have; and the last joiner would wait
-/// for all before it. So whoever is asked serves a bounded number, and names
-/// others: VMs of the joiner's failure domain that have joined, or, where
-/// nobody is known there, joiners that asked before. Those in turn pass on what
-/// they get, so that a start of all is a tree in each failure domain, in the
-/// order in which its VMs came.
-/// Thread safety of all methods: none.
+/// Load pattern: all VMs of a fleet, or of a rack, start at once. They know a
+/// few addresses, the same for all. If the VMs at those addresses served every
+/// joiner, each would send the whole registry as often as there are VMs, over
+/// links and processors of the size that all VMs have; and the last joiner
+/// would wait for all before it. So a VM that is asked serves a bounded number
+/// of joiners and refers the rest to others: to VMs of the joiner's failure
+/// domain that have joined, or, if it knows none there, to joiners that asked
+/// before. Those in turn pass on the documents that they receive. So a start of
+/// all VMs forms a tree in each failure domain, in the order in which its VMs
+/// asked.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class joiner_line
 {
 public:
@@ -35,27 +39,27 @@
         vm_identity const& self,
         std::uint64_t random_seed);
 
-    /// What this VM knows as a joiner asks.
-    struct situation
+    /// The state of this VM when a joiner asks.
+    struct local_state
     {
-        /// The VMs that can be reached, without this one.
+        /// The reachable VMs, without this one.
         std::span<document_peer const> peers;
         bool has_documents = false;
     };
 
-    /// A VM of the domain has documents and can serve others. No precondition.
+    /// Records that a VM of the domain has documents and can serve others.
     void note_holder(time_point now, vm_id holder, failure_domain_id domain);
 
-    /// A joiner asks: whom it is to ask instead, or nothing where it waits in
-    /// this VM's line. No precondition.
+    /// Handles the request of a joiner. Returns which VMs the joiner is to ask
+    /// instead, or nothing if this VM has queued it.
     [[nodiscard]] std::optional<join_referral>
     ask(time_point now,
         vm_id joiner,
         join_request const& request,
-        situation const& known);
+        local_state const& local);
 
-    /// Those of the line whose turn has come. Precondition: the documents are
-    /// there.
+    /// Removes the joiners that are to be served now from the queue and returns
+    /// them. Precondition: this VM has the documents.
     [[nodiscard]] std::vector<vm_id> take_due(time_point now);
 
 private:
@@ -66,13 +70,13 @@
     };
     using arrivals = std::vector<arrival>;
 
-    static arrivals&
-    note_arrival(time_point now, vm_id vm, arrivals& came, std::size_t most);
+    static arrivals& record_arrival(
+        time_point now, vm_id vm, arrivals& recorded, std::size_t limit);
     [[nodiscard]] bool has_room_for(vm_id joiner) const;
-    void admit(vm_id joiner);
-    [[nodiscard]] std::optional<join_referral> refer_to_line(vm_id joiner);
+    void enqueue(vm_id joiner);
+    [[nodiscard]] std::optional<join_referral> refer_to_queued(vm_id joiner);
     [[nodiscard]] std::optional<join_referral> refer_to_members(
-        vm_id joiner, failure_domain_id domain, situation const& known);
+        vm_id joiner, failure_domain_id domain, local_state const& local);
     [[nodiscard]] std::optional<join_referral>
     refer_to_holders(time_point now, vm_id joiner, failure_domain_id domain);
     [[nodiscard]] std::optional<join_referral> refer_by_arrival(
@@ -85,14 +89,15 @@
     std::size_t fanout;
     vm_identity self;
     version_random random;
-    /// Those that wait here.
-    std::deque<vm_id> line;
-    time_point next_turn_at;
-    std::size_t turns = 0;
-    std::size_t next_of_line = 0;
-    /// In the order in which they came, by failure domain.
-    std::map<failure_domain_id, arrivals> recent;
-    /// Those that told that they have documents, by failure domain.
+    /// The joiners that wait for documents from this VM.
+    std::deque<vm_id> queue;
+    time_point next_period_at;
+    /// How many joiners this VM still serves in the current period.
+    std::size_t remaining_turns = 0;
+    std::size_t next_queued = 0;
+    /// Joiners that asked, in the order of their requests, by failure domain.
+    std::map<failure_domain_id, arrivals> recent_joiners;
+    /// VMs that announced that they have documents, by failure domain.
     std::map<failure_domain_id, arrivals> holders;
     std::size_t next_holder = 0;
 };
--- a/libraries/versions/joining.hpp
+++ b/libraries/versions/joining.hpp
@@ -15,75 +15,76 @@
 namespace cairnhead
 {
 
-/// How a VM that has just started comes to documents: it asks the addresses
-/// that it knows and follows where they send it. Where they do not answer at
-/// once, it reads one page of the platform: where that is all, as with few
-/// upstreams, nothing is sooner. It reads more only when it is told to, when
-/// nobody serves it, or when the lot falls on it.
+/// Obtains the documents for a VM that has just started: asks the addresses
+/// that it knows and follows their referrals. If they do not answer at once, it
+/// reads one page of the platform: if that page is the whole registry, as with
+/// few upstreams, no other way is faster. It reads more only if it is told to,
+/// if no VM serves it, or if it was chosen at random.
 ///
-/// Load that this answers: all VMs of a fleet start at once. If each read the
-/// platform by itself, as none knows of the others, a start of all would be as
-/// many complete reads as there are VMs.
-/// Thread safety of all methods: none.
+/// Load pattern: all VMs of a fleet start at once. If each read the platform by
+/// itself, because none knows of the others, a start of all would cost as many
+/// complete reads as there are VMs.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class joining
 {
 public:
     explicit joining(vm_identity const& self);
 
-    /// The process started. A seed, which others ask first, reads the platform
-    /// at once; so does who knows nobody to ask. Precondition: called once.
+    /// The process started. A seed (a VM that others ask first) reads the
+    /// platform at once; so does a VM that knows no peer to ask. Precondition:
+    /// called once.
     void begin(time_point now, bool is_own_seed, version_random& random);
 
-    /// Whether the peers are to be asked now; counts as asked. No precondition.
+    /// Whether to ask peers now. If so, it counts as a request.
     [[nodiscard]] bool take_due(time_point now);
 
-    /// How many of them are to be asked at once: two, as one may be gone, and
-    /// more as long as nobody answers. Where all start at once, those that all
-    /// ask are busy enough with that. No precondition.
+    /// How many peers to ask at once: two, because one may have stopped, and
+    /// more as long as none answers. Not more at first: when all VMs start at
+    /// once, the peers that all of them ask are busy enough with two requests
+    /// from each.
     [[nodiscard]] std::size_t peers_to_ask() const;
 
-    /// What to ask first, and whom it was referred to. No precondition.
+    /// The request to send to peers, and to the VMs of a referral.
     [[nodiscard]] join_request request() const;
 
-    /// Whom to ask of those that were named: each once in an attempt. No
-    /// precondition.
+    /// Which VMs of a referral to ask: each once in an attempt.
     [[nodiscard]] std::vector<vm_id> follow(
         time_point now, join_referral const& referral, version_random& random);
 
-    /// The platform holds more than a page. No precondition.
+    /// Records that the platform holds more than one page.
     void found_long();
 
-    /// How much of the platform this VM is to read though it knows no
-    /// documents. No precondition.
+    /// How much of the platform this VM is to read while it has no documents.
     [[nodiscard]] platform_access choose_access(time_point now);
 
-    /// When something will be due that is not due yet. What is due already
-    /// waits for an answer: with a deadline that has passed the VM would wake
-    /// up again and again, which shows as a core that is busy while the
-    /// platform is down. No precondition.
+    /// The next deadline after `now`. An action whose deadline has passed waits
+    /// for an answer: if its deadline were returned, the VM would wake up again
+    /// and again. Symptom: a core that is busy while the platform is down.
     [[nodiscard]] std::optional<time_point> next_due(time_point now) const;
 
-    /// Whether it goes on reading for others once it has documents. No
-    /// precondition.
+    /// Whether this VM continues to read for others once it has documents.
     [[nodiscard]] bool reads_on(time_point now) const;
 
 private:
     vm_identity self;
-    absl::flat_hash_set<vm_id> asked;
-    /// How often it asked since somebody answered.
-    std::size_t questions = 0;
-    /// How often it was sent to others in vain.
-    std::uint32_t attempts = 0;
-    time_point next_ask_at;
-    time_point glance_at;
-    time_point read_at;
+    /// The VMs of referrals that were asked in this attempt.
+    absl::flat_hash_set<vm_id> asked_holders;
+    /// How often this VM asked peers since the last referral.
+    std::size_t requests_since_referral = 0;
+    /// How many referrals led to no documents.
+    std::uint32_t failed_attempts = 0;
+    time_point next_request_at;
+    time_point first_page_read_at;
+    time_point complete_read_at;
     bool has_begun = false;
     bool is_seed = false;
-    bool is_glancing = false;
-    bool is_long = false;
+    bool is_reading_first_page = false;
+    bool has_several_pages = false;
     bool was_referred = false;
-    /// Since it asked last.
-    bool is_referred = false;
+    /// Whether a referral arrived since the last request.
+    bool is_referral_pending = false;
 };
 
 } // namespace cairnhead
--- a/libraries/versions/peer_selection.hpp
+++ b/libraries/versions/peer_selection.hpp
@@ -11,8 +11,9 @@
 namespace cairnhead
 {
 
-/// Where a VM stands among the readers of its failure domain: the highest come
-/// first, and no two are equal. All VMs agree on it without a message.
+/// The rank by which the VMs of a failure domain become readers (rendezvous
+/// hashing): the highest ranks read, and no two are equal. All VMs compute the
+/// same ranks without a message.
 struct reader_rank
 {
     std::uint64_t hash = 0;
@@ -20,14 +21,15 @@
 
     reader_rank(failure_domain_id domain, vm_id ranked);
 
-    /// No precondition. Thread safety: no shared state.
+    /// Whether this rank is the higher one. No precondition. Thread safety: no
+    /// shared state.
     [[nodiscard]] bool is_above(reader_rank const& other) const;
 };
 
-/// Random peers to tell of new documents: first one of each other failure
-/// domain, then any. Peers of the own failure domain alone would keep a
-/// change inside it for longer. No precondition. Thread safety: no shared
-/// state.
+/// Chooses random peers to announce new documents to: first one of each other
+/// failure domain, then any. If only peers of the own failure domain were
+/// chosen, a change would leave the domain later. No precondition. Thread
+/// safety: no shared state.
 [[nodiscard]] std::vector<vm_id> choose_announce_targets(
     vm_identity const& self,
     std::span<document_peer const> peers,
--- a/libraries/versions/platform_watch.cpp
+++ b/libraries/versions/platform_watch.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// A watch that has no answer this long after its wait never gets one.
+/// A watch that has no answer this long after its wait receives none any more.
 constexpr duration answer_grace = 10s;
 
 } // namespace
@@ -57,16 +57,18 @@
     this->was_answered = true;
     this->deadline.reset();
 
-    // A platform that answers at once without news (its watch is broken, or
-    // replicas of different age take turns) would be read in a tight loop by
-    // every reader, up to its limit of reads. It shows in its call rate.
-    auto const has_news = index > this->after;
-    if (!has_news && now < this->early_until)
+    // If the platform answers at once without changes (its watch is broken, or
+    // replicas of different age alternate), every reader would read it in a
+    // tight loop, up to its limit of reads. Symptom: a high call rate at the
+    // platform.
+    auto const has_changes = index > this->after;
+    if (!has_changes && now < this->early_until)
         this->next_start = this->delay.fail(now, random);
     else
         this->delay.reset();
-    // The index may fall when the platform was restored; waiting behind the
-    // old one would miss every change until it is reached again.
+    // The index may decrease when the platform was restored. A watch that waits
+    // for more than the old index would miss every change until the platform
+    // reaches that index again.
     this->after = index;
 }
 
--- a/libraries/versions/platform_watch.hpp
+++ b/libraries/versions/platform_watch.hpp
@@ -9,47 +9,51 @@
 namespace cairnhead
 {
 
-/// Whether this VM is to read from the platform now.
+/// How much this VM is to read from the platform now.
 enum class platform_access : std::uint8_t
 {
     none,
-    /// What a single page holds.
+    /// The first page only.
     glancing,
     reading,
 };
 
-/// One blocking watch of the platform after another, with back-off while it
-/// fails. Thread safety of all methods: none.
+/// Watches the platform: one blocking call after another, with back-off while
+/// calls fail.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class platform_watch
 {
 public:
     explicit platform_watch(version_settings const& chosen);
 
-    /// Starts the next watch when it is due. No precondition.
+    /// Starts the next watch when it is due.
     void tick(
         time_point now,
         platform_access access,
         version_random& random,
         effect_list& effects);
 
-    /// The platform answered a watch. No precondition; late answers count.
+    /// The platform answered a watch. Late answers count as well.
     void listed(
         time_point now,
         platform_index index,
         version_random& random,
         effect_list& effects);
 
-    /// The platform holds more than one page. No precondition.
+    /// The platform holds more than one page: ends the watch that was to read
+    /// only the first one.
     void put_off();
 
-    /// A watch failed. No precondition.
+    /// A watch failed.
     void failed(time_point now, version_random& random, effect_list& effects);
 
-    /// The next watch starts at once, also while one is in progress: that one
-    /// may hang. No precondition.
+    /// Starts the next watch at the next tick, even while one is in progress:
+    /// the one in progress may hang.
     void start_anew(time_point now);
 
-    /// Whether the platform ever answered. No precondition.
+    /// Whether the platform ever answered.
     [[nodiscard]] bool has_answered() const;
 
 private:
@@ -58,9 +62,9 @@
     duration wait;
     backoff delay;
     platform_index after;
-    /// While a watch is in progress: when it counts as failed.
+    /// When the watch in progress counts as failed; none without a watch.
     std::optional<time_point> deadline;
-    /// An answer without news before this came too early.
+    /// An answer without changes before this time is too early and backs off.
     time_point early_until;
     time_point next_start;
     bool was_answered = false;
--- a/libraries/versions/reader_succession.hpp
+++ b/libraries/versions/reader_succession.hpp
@@ -12,35 +12,41 @@
 namespace cairnhead
 {
 
-/// Which VMs of a failure domain read the platform.
+/// Elects the VMs of a failure domain that read the platform.
 ///
-/// The first ones by rank do (rendezvous hashing of the VM's id with its
-/// domain), and send a heartbeat after each call that the platform answered.
-/// The candidates that get none for a while read in their place, each at its
-/// own turn. The first round is a quick search by rank, counted from the last
-/// heartbeat, for a VM that the platform serves. From then on the turn goes
-/// round slowly until the platform answers somebody: whoever calls announces
-/// it, the next one by rank calls half a second later, and where that one
-/// announces nothing the one after it steps in at once. Turns do not depend on
-/// how the ones before them end. So neither a call that hangs nor a VM that is
-/// gone holds up the others, the platform is asked at an even rate however many
-/// VMs wait for it, and it is asked soon after it is back.
+/// The elected readers are the VMs with the highest ranks (rendezvous hashing
+/// of the VM's id with its domain). A reader sends a heartbeat after each call
+/// that the platform answered. Candidates that receive no heartbeat for a while
+/// take over, each at its own turn. The first round is a quick search for a VM
+/// that the platform serves: the turns follow by rank, counted from the last
+/// heartbeat. From then on the turn rotates slowly until the platform answers
+/// a VM: each caller announces its call, the next VM by rank calls half a
+/// second later, and if that VM announces nothing, the one after it calls at
+/// once. A turn does not depend on how the calls before it end. So neither a
+/// call that hangs nor a VM that has stopped delays the others, the platform
+/// receives calls at an even rate however many VMs wait for it, and it is
+/// called soon after it has recovered.
 ///
-/// A VM that comes to be among the first takes over from whoever reads as soon
-/// as it gets its heartbeat, and the other ends when it gets that of the new
-/// one: so the platform is always being read, and what the new reader needs to
-/// go on comes with the heartbeat.
+/// A VM that becomes one of the elected readers takes over from the current
+/// reader as soon as it receives that reader's heartbeat, and the current
+/// reader stops when it receives a heartbeat of the new one. So the platform is
+/// read without a gap, and the new reader receives what it needs to continue
+/// with the heartbeat.
 ///
-/// Load that this answers: most VMs of every failure domain stand still, lose
-/// power, are cut off, or are turned away by a platform that serves the rest.
-/// An election by membership knows nothing of the last, and of the others only
-/// after seconds; without succession, changes published meanwhile reach nobody.
-/// And the platform is silent or down for all: VMs that back off together fall
-/// into step, and nobody asks for as long as they pause.
-/// And all VMs of a failure domain start, or restart in turn: each knows nobody
-/// at first, and would read the platform in place of all others.
+/// Load pattern: most VMs of every failure domain are paused, lose power, are
+/// cut off, or are refused by a platform that serves the rest. An election by
+/// membership cannot see a refusal, and it sees the other cases only after
+/// seconds; without a takeover, changes that are published meanwhile reach no
+/// VM.
+/// Second load pattern: the platform is silent or down for all. VMs that back
+/// off together synchronise, and none calls the platform during their common
+/// pause.
+/// Third load pattern: all VMs of a failure domain start, or restart in turn.
+/// Each knows no other VM at first, and would read the platform in place of all
+/// others.
 ///
-/// Thread safety of all methods: none.
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class reader_succession
 {
 public:
@@ -48,47 +54,47 @@
     reader_succession(
         version_settings const& settings, vm_identity const& self);
 
-    /// Which peers are reachable now, without this VM. No precondition.
+    /// Sets the peers that are reachable now, without this VM.
     void set_peers(time_point now, std::span<document_peer const> peers);
 
-    /// This VM reads without being elected, since it joins. It goes on for its
-    /// failure domain until it hears of one ahead. No precondition.
+    /// This VM starts to read without being elected, because it joins. It
+    /// continues to read for its failure domain until it receives a heartbeat
+    /// of a VM with a higher rank.
     void begin();
 
-    /// A VM says that the platform answered it. No precondition.
+    /// This VM received a heartbeat: the platform answered the reader.
     void heard(time_point now, vm_id reader);
 
-    /// A VM announces that it calls the platform, as it got no heartbeat for a
-    /// while. No precondition.
+    /// This VM received an announcement: the caller calls the platform, because
+    /// it received no heartbeat for a while.
     void heard_attempt(time_point now, vm_id caller);
 
-    /// The platform answered this VM: whom to tell, if anybody is due to hear
-    /// it. No precondition.
+    /// The platform answered this VM. Returns the VMs that a heartbeat is to be
+    /// sent to; none if no heartbeat is due.
     [[nodiscard]] std::vector<vm_id> answered(time_point now);
 
-    /// The platform did not answer this VM. No precondition.
+    /// The platform did not answer this VM.
     void failed(time_point now);
 
-    /// Whether this VM is among the first. No precondition.
+    /// Whether this VM has one of the highest ranks, those of the readers.
     [[nodiscard]] bool is_elected() const;
 
-    /// Whether this VM reads the platform for its failure domain. No
-    /// precondition.
+    /// Whether this VM reads the platform for its failure domain.
     [[nodiscard]] bool is_reading(time_point now) const;
 
-    /// The turn of this VM, if it has come: it calls the platform now, whatever
-    /// became of its call before. No precondition.
+    /// The turn of this VM, if it is due: the VM calls the platform now, even
+    /// if its previous call is still in progress.
     struct turn
     {
-        /// Who is to get word of the attempt; none in the search, as its
-        /// moments are known to all.
+        /// The VMs that the call is to be announced to; none during the search,
+        /// because every candidate knows the times of its turns.
         std::span<vm_id const> announced_to;
     };
     [[nodiscard]] std::optional<turn> take_turn(time_point now);
 
 private:
-    [[nodiscard]] bool is_ahead_of_self(vm_id other) const;
-    [[nodiscard]] bool is_off() const;
+    [[nodiscard]] bool outranks_self(vm_id other) const;
+    [[nodiscard]] bool is_takeover_disabled() const;
     [[nodiscard]] bool is_candidate() const;
     [[nodiscard]] std::size_t candidate_count() const;
     [[nodiscard]] time_point first_turn() const;
@@ -99,27 +105,28 @@
     [[nodiscard]] duration takeover_pause() const;
 
     std::size_t readers;
-    duration patience;
+    duration heartbeat_timeout;
     vm_identity self;
-    /// How many reachable VMs of the domain come before this one.
+    /// How many reachable VMs of the domain have a higher rank than this one.
     std::size_t rank = 0;
-    /// The first ones of the others, who may succeed.
-    std::vector<vm_id> listeners;
-    /// All after those; a few are told each time, one after the other.
-    std::vector<vm_id> bystanders;
-    std::size_t next_bystander = 0;
-    /// The search begins then, unless a heartbeat comes before.
+    /// The other VMs that may read, sorted by rank, highest first.
+    std::vector<vm_id> other_candidates;
+    /// All lower-ranked VMs; each heartbeat goes to a few of them in turn.
+    std::vector<vm_id> non_candidates;
+    std::size_t next_non_candidate = 0;
+    /// When the search starts, unless a heartbeat arrives before.
     time_point search_starts_at;
     /// The next turn of this VM.
     time_point turn_at;
-    /// It does not take over from a reader before this.
+    /// This VM does not take over from a reader before this time.
     time_point no_takeover_until;
-    time_point next_telling_at;
-    /// Its turn came, and the call is not over.
-    bool is_trying = false;
-    /// Whether this VM took its place and the platform answers it.
-    bool is_acting = false;
-    bool was_told_of_peers = false;
+    time_point next_heartbeat_at;
+    /// Whether the call of this VM's turn is still in progress.
+    bool is_call_pending = false;
+    /// Whether this VM reads: it joined, took over or was answered, and has
+    /// neither failed nor been replaced since.
+    bool is_active_reader = false;
+    bool has_received_peers = false;
 };
 
 } // namespace cairnhead
--- a/libraries/versions/relay_memory.hpp
+++ b/libraries/versions/relay_memory.hpp
@@ -10,26 +10,28 @@
 namespace cairnhead
 {
 
-/// Which changes of a registry were passed on, and which are to be once they
-/// are held. Without it a change that comes by two ways would be passed on
-/// twice, and one that has to be fetched would end here.
-/// Thread safety of all methods: none.
+/// Records which changes of a registry this VM relayed, and which it is to
+/// relay once it holds their text. Without this record a change that arrives
+/// twice would be relayed twice, and a change that has to be fetched would not
+/// be relayed at all.
+///
+/// No method has a precondition unless its comment states one; none is
+/// thread-safe.
 class relay_memory
 {
 public:
-    /// Whether this change was not passed on yet; from now on it was. No
-    /// precondition.
+    /// Whether this change was not relayed yet; records it as relayed.
     [[nodiscard]] bool begin(registry_change const& change)
     {
-        document_version& passed =
-            this->passed_by(change.origin)[index_of(change.document)];
-        if (change.version <= passed)
+        document_version& relayed =
+            this->relayed_from(change.origin)[index_of(change.document)];
+        if (change.version <= relayed)
             return false;
-        passed = change.version;
+        relayed = change.version;
         return true;
     }
 
-    /// The change is to be passed on when its text is there. No precondition.
+    /// Records that the change is to be relayed once this VM holds its text.
     void await(registry_change const& change)
     {
         auto& held = this->awaited[index_of(change.document)];
@@ -37,8 +39,7 @@
             held = change;
     }
 
-    /// What is to be passed on now that this version is held, if anything. No
-    /// precondition.
+    /// The change to relay now that this VM holds this version, if any.
     [[nodiscard]] std::optional<registry_change>
     take_awaited(registry_document document, document_version held)
     {
@@ -50,15 +51,15 @@
 
 private:
     static constexpr std::size_t documents = 3;
-    /// Few VMs of a failure domain read the platform; the one that was not
-    /// heard for longest is forgotten.
+    /// How many origins of changes are remembered: few VMs of a failure domain
+    /// read the platform. The origin that was added first is removed first.
     static constexpr std::size_t maximum_origins = 16;
 
     using versions = std::array<document_version, documents>;
     struct origin_versions
     {
         vm_id origin;
-        versions passed{};
+        versions relayed{};
     };
 
     static std::size_t index_of(registry_document document)
@@ -66,16 +67,16 @@
         return static_cast<std::size_t>(document);
     }
 
-    versions& passed_by(vm_id origin)
+    versions& relayed_from(vm_id origin)
     {
         for (origin_versions& known : this->origins)
         {
             if (known.origin == origin)
-                return known.passed;
+                return known.relayed;
         }
         if (this->origins.size() == maximum_origins)
             this->origins.erase(this->origins.begin());
-        return this->origins.emplace_back(origin_versions{origin}).passed;
+        return this->origins.emplace_back(origin_versions{origin}).relayed;
     }
 
     std::vector<origin_versions> origins;
--- a/libraries/versions/relay_tree.cpp
+++ b/libraries/versions/relay_tree.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// All VMs of the own domain as this VM sees them, and the origin.
+/// The VMs of the own domain that this VM knows and the origin, sorted by id
+/// and rotated so that the origin is the first.
 std::vector<vm_id> order_domain(
     vm_identity const& self, std::span<document_peer const> peers, vm_id origin)
 {
@@ -34,11 +35,11 @@
 {
     auto const order = order_domain(self, peers, origin);
     auto const own = std::ranges::find(order, self.id);
-    auto const place = static_cast<std::size_t>(own - order.begin());
-    std::size_t const first = place * fanout + 1;
+    auto const position = static_cast<std::size_t>(own - order.begin());
+    std::size_t const first_child = position * fanout + 1;
     std::vector<vm_id> targets;
-    for (std::size_t next = first; next < first + fanout && next < order.size();
-         ++next)
+    for (std::size_t next = first_child;
+         next < first_child + fanout && next < order.size(); ++next)
         targets.push_back(order[next]);
     return targets;
 }
--- a/libraries/versions/relay_tree.hpp
+++ b/libraries/versions/relay_tree.hpp
@@ -10,14 +10,15 @@
 namespace cairnhead
 {
 
-/// To whom this VM passes on what the origin tells its failure domain.
+/// The VMs that this VM forwards a change to: its children in the tree by which
+/// a change is disseminated from its origin through the failure domain.
 ///
-/// All VMs of the domain stand in one order, from the origin on, and each
-/// passes on to the next places of a tree with `fanout` branches. VMs that see
-/// the same members agree on it without a message, each gets one copy, and none
-/// sends more than `fanout`. A VM that others take for alive hides the branch
-/// below it, and a view that differs leaves some VM out: those notice that
-/// their digests differ from those of their peers.
+/// All VMs of the domain are in one order, starting with the origin, and form
+/// a tree in which each VM has `fanout` children. VMs that see the same members
+/// agree on the tree without a message, each VM receives one copy, and none
+/// sends more than `fanout`. A VM that has stopped while others consider it
+/// alive cuts off the branch below it, and differing member views leave some
+/// VMs out: those detect that their digests differ from those of their peers.
 /// Precondition: the fan-out is not zero. Thread safety: no shared state.
 [[nodiscard]] std::vector<vm_id> relay_targets(
     vm_identity const& self,
--- a/tests/versions/test_pieces.cpp
+++ b/tests/versions/test_pieces.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-Test(pieces, listings_are_split_and_ask_once)
+Test(pieces, listings_are_split_and_contain_one_request)
 {
     std::vector<document_stamp> stamps;
     stamps.reserve(100);
@@ -87,9 +87,9 @@
     {
         version_settings settings;
         settings.readers_per_domain = 2;
-        reader_succession own(settings, {vm.id, vm.domain});
-        own.set_peers(time_point(), vms);
-        if (own.is_elected())
+        reader_succession election(settings, {vm.id, vm.domain});
+        election.set_peers(time_point(), vms);
+        if (election.is_elected())
             ++readers[vm.domain.value()];
     }
     for (auto const count : readers)
@@ -114,10 +114,10 @@
     }
 }
 
-Test(pieces, a_watch_that_answers_at_once_is_not_a_loop)
+Test(pieces, a_watch_that_answers_at_once_backs_off)
 {
-    // Symptom: the platform's limit of reads is used up. Sequence: its watch
-    // returns at once without news. Cause: the next watch follows directly.
+    // Symptom: the platform's limit of reads is exhausted. Sequence: its watch
+    // returns at once without changes. Cause: the next watch starts at once.
     version_random random(1);
     version_settings settings;
     settings.backoff_maximum = 30s;
--- a/tests/versions/test_relay_tree.cpp
+++ b/tests/versions/test_relay_tree.cpp
@@ -54,12 +54,12 @@
     cr_expect_eq(targets.size(), 2);
 }
 
-Test(relay_tree, an_origin_that_is_not_known_yet_is_the_root_all_the_same)
+Test(relay_tree, an_unknown_origin_is_the_root)
 {
     auto const vms = make_domain(5);
     std::size_t reached = 0;
     for (document_peer const& each : vms)
         reached += relay_targets({each.id, domain}, vms, vm_id(77), 4).size();
-    // Its own four branches are not among these.
+    // The targets of the origin itself are not counted.
     cr_expect_eq(reached, 1);
 }
--- a/tests/versions/test_spread.cpp
+++ b/tests/versions/test_spread.cpp
@@ -10,6 +10,7 @@
 namespace
 {
 
+/// One second in ticks of the fleet, which are 100 ms each.
 constexpr std::size_t second = 10;
 
 std::size_t count_readers(fleet& vms)
@@ -45,7 +46,7 @@
     }
 }
 
-Test(spread, a_joiner_learns_from_peers_while_the_platform_is_unusable)
+Test(spread, a_joiner_fetches_from_peers_while_the_platform_is_unusable)
 {
     // Symptom: a replaced VM forwards nothing until the platform returns.
     // Sequence: the platform fails; a VM joins a fleet that has documents.
@@ -67,14 +68,15 @@
 
 Test(spread, a_joiner_without_peers_and_platform_never_catches_up)
 {
-    // Symptom: a VM places flows by documents that it does not have.
-    // Sequence: it starts cut off from all. Cause: waiting ends by time alone.
+    // Symptom: a VM places flows without the documents that this needs.
+    // Sequence: it starts without a connection to any VM or the platform.
+    // Cause: its wait for documents ends by a time-out alone.
     fleet vms(1, 1);
     vms.platform.state = platform_state::down;
     vms.run(60 * second);
     cr_expect_not(vms.is_caught_up(0));
     cr_expect_eq(vms.count_reports(0, report_kind::platform_unreachable), 1);
-    // 60 s of failures are few reads, since the back-off grows.
+    // 60 s of failures cause few reads, because the back-off grows.
     cr_expect_lt(vms.platform.watches, 16);
 
     vms.platform.state = platform_state::good;
@@ -85,9 +87,10 @@
 
 Test(spread, a_vm_that_was_cut_off_keeps_its_version_and_catches_up)
 {
-    // Symptom: a failure domain stops, or goes back, when it is cut off.
-    // Sequence: VM 2 is cut off; a change; it is mended. Cause: documents
-    // that need someone's confirmation to stay in force.
+    // Symptom: a failure domain that is cut off stops, or reverts to an earlier
+    // version. Sequence: VM 2 is cut off; a change is published; the connection
+    // is restored. Cause: documents that need the confirmation of another VM to
+    // stay in force.
     fleet vms(4, 2);
     vms.run(3 * second);
     vms.cut(2);
@@ -100,10 +103,10 @@
     cr_expect(vms.all_have(association, 2));
 }
 
-Test(spread, a_reader_that_vanishes_is_replaced)
+Test(spread, a_reader_that_stops_is_replaced)
 {
     // Symptom: changes no longer reach one failure domain's VMs from the
-    // platform. Sequence: its reader dies. Cause: a fixed choice of readers.
+    // platform. Sequence: its reader stops. Cause: a fixed choice of readers.
     fleet vms(4, 1);
     vms.run(3 * second);
     std::size_t reader = 0;
@@ -119,9 +122,9 @@
 
 Test(spread, a_stale_platform_reverts_nothing_and_is_reported_once)
 {
-    // Symptom: a change that was in force comes undone. Sequence: the
-    // platform answers from a replica that lags. Cause: the platform's word
-    // taken over a higher version that is held.
+    // Symptom: a change that was in force is reverted. Sequence: the platform
+    // answers from a replica that lags. Cause: the version of the platform
+    // replaces a higher version that the VM holds.
     fleet vms(3, 1);
     vms.platform.publish(association, association_text);
     vms.run(3 * second);
@@ -145,8 +148,9 @@
 
 Test(spread, a_document_that_leaves_the_listing_stays_in_force)
 {
-    // Symptom: an organisation's services vanish. Sequence: the platform
-    // comes back without its data. Cause: a missing entry read as a removal.
+    // Symptom: an organisation's services disappear. Sequence: the platform
+    // recovers without its data. Cause: a missing entry is treated as a
+    // removal.
     fleet vms(3, 1);
     vms.run(3 * second);
     vms.platform.documents.clear();
@@ -155,11 +159,11 @@
     cr_expect_eq(vms.at(0).current()->services().size(), 3);
 }
 
-Test(spread, a_peer_that_serves_nothing_is_passed_over)
+Test(spread, a_peer_that_serves_no_documents_is_skipped)
 {
-    // Symptom: VMs lag behind for good. Sequence: the peer that announced a
-    // version, perhaps the only reader, cannot serve it. Cause: only one
-    // source is remembered, or non-readers never turn to the platform.
+    // Symptom: VMs lag behind permanently. Sequence: the peer that announced a
+    // version, perhaps the only reader, cannot serve it. Cause: only one source
+    // is remembered, or VMs that are not readers never call the platform.
     for (std::size_t mute = 0; mute < 5; ++mute)
     {
         fleet vms(5, 1);
@@ -175,10 +179,11 @@
     }
 }
 
-Test(spread, two_joiners_do_not_vouch_for_each_other)
+Test(spread, joiners_do_not_accept_empty_answers_of_each_other)
 {
-    // Symptom: a VM places with no documents. Sequence: all VMs are replaced
-    // at once while the platform is down. Cause: an empty answer believed.
+    // Symptom: a VM places flows without documents. Sequence: all VMs are
+    // replaced at once while the platform is down. Cause: an empty answer of a
+    // peer is accepted as the whole registry.
     fleet vms(3, 1);
     vms.platform.state = platform_state::down;
     vms.run(20 * second);
@@ -186,11 +191,11 @@
         cr_expect_not(vms.is_caught_up(vm));
 }
 
-Test(spread, an_unobtainable_document_holds_back_nobody_else)
+Test(spread, an_unobtainable_document_does_not_delay_the_others)
 {
-    // Symptom: no joiner places anything. Sequence: one organisation's
-    // document cannot be read from the platform; a lone VM starts. Cause: a
-    // joiner that waits for every listed document for ever.
+    // Symptom: no joiner places any flow. Sequence: one organisation's document
+    // cannot be read from the platform; a single VM starts. Cause: a joiner
+    // waits for every listed document for ever.
     fleet vms(1, 1);
     vms.platform.documents[brackenlea].text.append(maximum_text_bytes, ' ');
     vms.run(20 * second);
@@ -198,14 +203,14 @@
     cr_expect_eq(vms.at(0).current()->services().size(), 2);
 }
 
-Test(spread, a_reader_that_the_platform_turns_away_holds_nobody_back)
+Test(spread, a_reader_that_the_platform_refuses_delays_no_vm)
 {
     // Symptom: a change is in force on no VM for seconds, although the platform
-    // serves most of them (seen in a day drawn for the permit desk: CONFIG).
-    // Sequence: the platform turns away one VM of each failure domain, the one
-    // that reads for it; the operator publishes.
+    // serves most of them (seen in a generated day of the permit desk: CONFIG).
+    // Sequence: the platform refuses one VM of each failure domain, the reader;
+    // the operator publishes.
     // Cause: a single reader in each domain, and an election that does not know
-    // who is turned away.
+    // which VMs the platform refuses.
     fleet vms(6, 2, 2);
     vms.run(3 * second);
     std::set<std::size_t> domains;
@@ -222,22 +227,22 @@
     cr_expect(vms.all_have(association, 2));
 }
 
-Test(spread, others_read_for_readers_that_the_platform_turns_away)
+Test(spread, others_take_over_from_readers_that_the_platform_refuses)
 {
     // Symptom: a change is in force on no VM for seconds while the platform
-    // serves some of them. Sequence: the platform turns away both readers of
-    // each failure domain and most of the others; the operator publishes at
-    // once. Cause: an election that does not know who is turned away.
+    // serves some of them. Sequence: the platform refuses both readers of each
+    // failure domain and most of the other VMs; the operator publishes at once.
+    // Cause: an election that does not know which VMs the platform refuses.
     fleet vms(40, 2, 2, 1200ms);
     vms.run(10 * second);
     cr_assert_eq(count_readers(vms), 4);
-    constexpr std::size_t turned_away = 36;
+    constexpr std::size_t refused_vms = 36;
     for (std::size_t vm = 0; vm < vms.size(); ++vm)
     {
         if (vms.at(vm).is_reader())
             vms.turned_away.insert(vm);
     }
-    for (std::size_t vm = 0; vms.turned_away.size() < turned_away; ++vm)
+    for (std::size_t vm = 0; vms.turned_away.size() < refused_vms; ++vm)
         vms.turned_away.insert(vm);
     for (std::uint64_t version = 2; version <= 5; ++version)
     {
@@ -245,18 +250,18 @@
         vms.run(3 * second);
         cr_expect(vms.all_have(association, version), "version %lu", version);
     }
-    // Once they are served again, after their longest back-off, the elected
-    // ones suffice.
+    // Once the platform serves all VMs again, and their longest back-off is
+    // over, the elected readers suffice.
     vms.turned_away.clear();
     vms.run(40 * second);
     cr_expect_eq(count_readers(vms), 4);
 }
 
-Test(spread, others_read_for_readers_that_die)
+Test(spread, others_take_over_from_readers_that_stop)
 {
-    // Symptom: as above. Sequence: most VMs die in one moment, the readers
-    // among them, and nobody has missed them yet. Cause: an election by
-    // membership.
+    // Symptom: a change is in force on no VM for seconds. Sequence: most VMs
+    // stop at the same time, among them the readers, and no VM has detected
+    // that yet. Cause: an election by membership.
     fleet vms(40, 2, 2, 1200ms);
     vms.run(5 * second);
     for (std::size_t vm = 0; vm < vms.size(); ++vm)
@@ -269,18 +274,18 @@
     cr_expect(vms.all_living_have(association, 2));
 }
 
-Test(spread, a_platform_that_is_down_is_not_asked_by_all_at_once)
+Test(spread, a_platform_that_is_down_is_not_called_by_all_at_once)
 {
-    // Symptom: a platform that comes back is met by calls of every VM.
-    // Sequence: it turns everybody away for twenty seconds. Cause: successors
-    // that go on trying.
+    // Symptom: every VM calls a platform that has just recovered.
+    // Sequence: it answers no VM for twenty seconds. Cause: VMs that take over
+    // and keep calling.
     fleet vms(40, 2, 2, 1200ms);
     vms.run(5 * second);
     vms.platform.state = platform_state::down;
     auto const before = vms.platform.watches;
     constexpr int seconds = 20;
     vms.run(seconds * second);
-    // Of each domain two readers with their back-off, and sixteen successors,
-    // each at most once in two seconds.
+    // In each domain two readers with their back-off, and sixteen substitutes,
+    // each of which calls at most once in two seconds.
     cr_expect_leq(vms.platform.watches - before, 2 * (2 + 16) * seconds / 2);
 }
