--- a/exploration/succession_world.cpp
+++ b/exploration/succession_world.cpp
@@ -241,9 +241,9 @@
             continue;
         vm_id const from = this->vms[each.from].id;
         if (each.said == word::heartbeat)
-            receiver->succession->heard(this->now(), from);
+            receiver->succession->receive_heartbeat(this->now(), from);
         else
-            receiver->succession->heard_attempt(this->now(), from);
+            receiver->succession->receive_attempt(this->now(), from);
     }
 }
 
--- a/exploration/succession_world.hpp
+++ b/exploration/succession_world.hpp
@@ -2,7 +2,7 @@
 
 #include <exploration/disturbance.hpp>
 
-#include <versions/reader_succession.hpp>
+#include <versions/reader_election.hpp>
 
 #include <deque>
 #include <optional>
@@ -35,7 +35,7 @@
 [[nodiscard]] std::string to_text(succession_violation const& found);
 
 /// The VMs of one failure domain, as far as reading the platform concerns them:
-/// real `reader_succession` objects, with calls, heartbeats and views of the
+/// real `reader_election` objects, with calls, heartbeats and views of the
 /// members in between. Time passes in steps.
 /// Thread safety of all methods: none.
 class succession_world
@@ -59,7 +59,7 @@
     struct vm
     {
         vm_id id;
-        std::optional<reader_succession> succession;
+        std::optional<reader_election> succession;
         std::optional<call> under_way;
         duration next_call_at{};
         /// Since when the platform would serve it.
--- a/libraries/placement/placement.cpp
+++ b/libraries/placement/placement.cpp
@@ -185,7 +185,7 @@
         .detail = {}});
 }
 
-void placement::opening_repeated(
+void placement::opening_retransmitted(
     time_point now, upstream_id upstream, effect_list& effects)
 {
     auto* const state = this->find_state(upstream);
@@ -312,7 +312,7 @@
         this->apply_declaration(now, declared, is_first);
     }
     // Flows of a removed upstream continue, and the upstream may be declared
-    // again: its state is kept until its last flow closes.
+    // again: its state is kept while it has flows.
     std::erase_if(
         this->states,
         [](upstream_state const& state)
@@ -547,7 +547,7 @@
         return one->load;
     };
     auto const& least = **std::ranges::min_element(shortlist, {}, load_of);
-    auto const tolerated = least.load * (1.0 + this->policy.balance_lean);
+    auto const tolerated = least.load * (1.0 + this->policy.balance_tolerance);
     return first.load <= tolerated ? first : least;
 }
 
@@ -561,7 +561,8 @@
         slots += one.slots;
     }
     auto const mean = flows / slots;
-    auto const bound = mean * this->policy.continuity_excess + continuity_slack;
+    auto const bound =
+        mean * this->policy.continuity_load_ratio + continuity_slack;
     candidate const* result = nullptr;
     for (auto const& one : this->candidates)
     {
--- a/libraries/placement/placement.hpp
+++ b/libraries/placement/placement.hpp
@@ -106,7 +106,7 @@
 
     /// The caller retransmitted an opening because the upstream had not
     /// answered by then. Unknown upstreams are ignored.
-    void opening_repeated(
+    void opening_retransmitted(
         time_point now, upstream_id upstream, effect_list& effects);
 
     /// Whether the upstream is excluded from new flows because it failed.
--- a/libraries/placement/placement_policy.hpp
+++ b/libraries/placement/placement_policy.hpp
@@ -15,10 +15,10 @@
     std::uint32_t balance_candidates = 4;
     /// `prefer: balance` keeps the flow's first choice while its load exceeds
     /// the least load by no more than this fraction.
-    double balance_lean = 0.1;
+    double balance_tolerance = 0.1;
     /// `prefer: continuity` passes over an upstream whose load per slot is more
     /// than this many times the service's mean.
-    double continuity_excess = 1.25;
+    double continuity_load_ratio = 1.25;
     /// Lower bound of the share that a report of high load can reduce an
     /// upstream to.
     double minimum_report_share = 0.8;
--- a/libraries/reducer/flow_router_placing.cpp
+++ b/libraries/reducer/flow_router_placing.cpp
@@ -138,7 +138,7 @@
     // One caller that never hears its answer repeats many times. Counted each
     // time, it alone could eject a healthy upstream of a quiet service.
     if (!held.is_repeated)
-        this->context.placer.opening_repeated(
+        this->context.placer.opening_retransmitted(
             this->now, held.upstream, this->effects);
     held.is_repeated = true;
     service const* const target =
--- a/libraries/reducer/reducer.cpp
+++ b/libraries/reducer/reducer.cpp
@@ -258,7 +258,7 @@
     if (this->has_joined)
         this->members.heard_from(now, sender);
     if (auto const domain = this->members.domain_of(sender))
-        this->tagged.note_heard(now, *domain);
+        this->tagged.record_domain_message(now, *domain);
     std::visit(
         [&](auto const& message)
         {
@@ -328,7 +328,7 @@
 
 void reducer::ask_domains(effect_list& out)
 {
-    for (failure_domain_id const domain : this->tagged.take_questions())
+    for (failure_domain_id const domain : this->tagged.take_domains_to_probe())
     {
         for (domain_contact const& known :
              this->members.contacts_abroad().of(domain))
--- a/libraries/reducer/reducer_view.hpp
+++ b/libraries/reducer/reducer_view.hpp
@@ -33,7 +33,7 @@
     placement::upstream_view state;
     std::uint32_t slots = 0;
     /// With tags only.
-    std::optional<upstream_belief> belief;
+    std::optional<upstream_view> belief;
 };
 
 /// A copy of what one VM believes; safe to hand to another thread.
--- a/libraries/reducer/tagged_view.cpp
+++ b/libraries/reducer/tagged_view.cpp
@@ -98,7 +98,7 @@
 
 shown_upstream make_shown_upstream(upstream_candidate const& known)
 {
-    upstream_belief const& belief = known.belief;
+    upstream_view const& belief = known.view;
     placement::upstream_view const state{
         .upstream = upstream_id(known.registered.address.value()),
         .flows = known.flows,
--- a/libraries/runtime/answer_builder.cpp
+++ b/libraries/runtime/answer_builder.cpp
@@ -151,7 +151,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(*end - *begin);
 }
 
-belief_answer make_belief(time_point now, upstream_belief const& held)
+belief_answer make_belief(time_point now, upstream_view const& held)
 {
     return {
         .verdict = to_shown_verdict(held.verdict),
@@ -188,7 +188,7 @@
     answer.failure_domain = registered.failure_domain;
     answer.flows = candidate.flows;
     answer.slots = registered.slots;
-    answer.belief = make_belief(now, candidate.belief);
+    answer.belief = make_belief(now, candidate.view);
     return answer;
 }
 
@@ -310,7 +310,7 @@
     for (upstream_candidate const& candidate : found.candidates)
         answer.candidates.push_back(make_candidate(found.asked_at, candidate));
     if (!found.candidates.empty() &&
-        may_take_flows(found.candidates.front().belief.verdict))
+        may_take_flows(found.candidates.front().view.verdict))
         answer.would_get = answer.candidates.front().id;
     if (found.asked_at != time_point())
         answer.documents = make_registry(found.asked_at, found.registry);
--- a/libraries/runtime/connection_checker.cpp
+++ b/libraries/runtime/connection_checker.cpp
@@ -74,7 +74,7 @@
 connection_checker::connect(check_upstream const& wanted, time_point now)
 {
     attempt started{wanted.upstream,       wanted.life, now,
-                    connection_trial(now), {},          {}};
+                    connection_check(now), {},          {}};
     // The suspect first: a witness's answer must show that what was sent to
     // the suspect has left this VM as well.
     for (std::size_t count = 0; count < connections_to_suspect; ++count)
@@ -108,7 +108,7 @@
         this->running,
         [this, now](attempt& one)
         {
-            auto const outcome = one.trial.judge(
+            auto const outcome = one.trial.evaluate(
                 now, {best_of(one.suspects), best_of(one.witnesses)});
             if (outcome)
                 this->ended.push_back(
--- a/libraries/runtime/connection_checker.hpp
+++ b/libraries/runtime/connection_checker.hpp
@@ -3,7 +3,7 @@
 #include <event/effect.hpp>
 #include <event/event.hpp>
 #include <runtime/file_descriptor.hpp>
-#include <tagging/connection_trial.hpp>
+#include <tagging/connection_check.hpp>
 
 #include <cstdint>
 #include <optional>
@@ -46,7 +46,7 @@
         upstream_tag upstream;
         incarnation life;
         time_point started_at;
-        connection_trial trial;
+        connection_check trial;
         std::vector<file_descriptor> suspects;
         std::vector<file_descriptor> witnesses;
     };
--- a/libraries/tagging/connection_trial.cpp
+++ b/libraries/tagging/connection_check.cpp
@@ -1,4 +1,4 @@
-#include <tagging/connection_trial.hpp>
+#include <tagging/connection_check.hpp>
 
 #include <algorithm>
 
@@ -28,13 +28,13 @@
 
 } // namespace
 
-connection_trial::connection_trial(time_point now)
+connection_check::connection_check(time_point now)
     : started_at(now), observed_at(now), observation_due_at(now + settling_time)
 {
 }
 
 std::optional<connection_outcome>
-connection_trial::judge(time_point now, trial_look const& observed)
+connection_check::evaluate(time_point now, check_observation const& observed)
 {
     if (observed.suspect == connection_state::accepted)
         return connection_outcome::connected;
@@ -44,7 +44,7 @@
     this->observed_at = now;
     if (this->was_paused || now >= this->started_at + check_timeout)
         return connection_outcome::inconclusive;
-    if (observed.witness != connection_state::pending &&
+    if (observed.reference != connection_state::pending &&
         !this->reference_answered_at)
         this->reference_answered_at = now;
     bool const has_settled =
@@ -57,7 +57,7 @@
     return std::nullopt;
 }
 
-time_point connection_trial::next_due() const
+time_point connection_check::next_due() const
 {
     return std::min(this->observation_due_at, this->started_at + check_timeout);
 }
--- a/libraries/tagging/connection_trial.hpp
+++ b/libraries/tagging/connection_check.hpp
@@ -21,11 +21,11 @@
 };
 
 /// States of a check's connections at one time.
-struct trial_look
+struct check_observation
 {
     connection_state suspect = connection_state::pending;
     /// Of all reference upstreams, the state of the one that got furthest.
-    connection_state witness = connection_state::pending;
+    connection_state reference = connection_state::pending;
 };
 
 /// Decides whether an upstream is reachable. It compares connections to the
@@ -41,17 +41,17 @@
 /// as a reference: if a nearby VM answers and no upstream does, the path to all
 /// upstreams is at fault, and a caller whose flow ends would have no upstream
 /// to go to. Not thread-safe.
-class connection_trial
+class connection_check
 {
 public:
     /// Precondition: the connections to the suspect were begun before those to
     /// the reference upstreams.
-    explicit connection_trial(time_point started_at);
+    explicit connection_check(time_point started_at);
 
     /// Returns the outcome that the connections show by now, or nothing while
     /// the check is undecided. No precondition.
     [[nodiscard]] std::optional<connection_outcome>
-    judge(time_point now, trial_look const& look);
+    evaluate(time_point now, check_observation const& look);
 
     /// When to observe the connections again. No precondition.
     [[nodiscard]] time_point next_due() const;
--- a/libraries/tagging/domain_watch.cpp
+++ b/libraries/tagging/domain_reachability.cpp
@@ -1,4 +1,4 @@
-#include <tagging/domain_watch.hpp>
+#include <tagging/domain_reachability.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -24,13 +24,14 @@
 
 } // namespace
 
-domain_watch::domain_watch(
+domain_reachability::domain_reachability(
     tagging_settings const& chosen, failure_domain_id own)
     : settings(chosen), own_domain(own)
 {
 }
 
-void domain_watch::note_answered(time_point at, failure_domain_id domain)
+void domain_reachability::record_answered(
+    time_point at, failure_domain_id domain)
 {
     domain_state& state = this->domains[domain];
     state.answered_at = std::max(state.answered_at, at);
@@ -38,14 +39,16 @@
         this->mark_reachable(domain, state);
 }
 
-void domain_watch::note_heard(time_point now, failure_domain_id domain)
+void domain_reachability::record_message(
+    time_point now, failure_domain_id domain)
 {
     domain_state& state = this->domains[domain];
     state.message_at = now;
     this->mark_reachable(domain, state);
 }
 
-void domain_watch::mark_reachable(failure_domain_id domain, domain_state& state)
+void domain_reachability::mark_reachable(
+    failure_domain_id domain, domain_state& state)
 {
     state.answer_deadline.reset();
     if (!std::exchange(state.is_unreachable, false))
@@ -53,7 +56,7 @@
     this->changes.push_back({domain, false});
 }
 
-bool domain_watch::may_be_unreachable(
+bool domain_reachability::may_be_unreachable(
     time_point now, failure_domain_id domain) const
 {
     auto const found = this->domains.find(domain);
@@ -75,7 +78,7 @@
     return !is_too_early && this->has_answers_elsewhere(now, domain);
 }
 
-void domain_watch::note_silent(
+void domain_reachability::record_silence(
     time_point now, failure_domain_id domain, std::size_t silent_upstreams)
 {
     bool const is_suspect = silent_upstreams >= minimum_silent_upstreams &&
@@ -88,7 +91,7 @@
     this->probe_requests.push_back(domain);
 }
 
-bool domain_watch::has_answers_elsewhere(
+bool domain_reachability::has_answers_elsewhere(
     time_point now, failure_domain_id domain) const
 {
     return std::ranges::any_of(
@@ -101,7 +104,7 @@
         });
 }
 
-void domain_watch::advance(time_point now)
+void domain_reachability::advance(time_point now)
 {
     for (auto& [domain, state] : this->domains)
     {
@@ -115,7 +118,7 @@
     }
 }
 
-void domain_watch::ask_again(time_point now)
+void domain_reachability::probe_again(time_point now)
 {
     for (auto& [domain, state] : this->domains)
     {
@@ -130,7 +133,7 @@
     }
 }
 
-std::optional<time_point> domain_watch::next_due() const
+std::optional<time_point> domain_reachability::next_due() const
 {
     std::optional<time_point> due;
     for (auto const& [domain, state] : this->domains)
@@ -142,18 +145,19 @@
     return due;
 }
 
-bool domain_watch::is_unreachable(failure_domain_id domain) const
+bool domain_reachability::is_unreachable(failure_domain_id domain) const
 {
     auto const found = this->domains.find(domain);
     return found != this->domains.end() && found->second.is_unreachable;
 }
 
-std::vector<failure_domain_id> domain_watch::take_questions()
+std::vector<failure_domain_id> domain_reachability::take_probe_requests()
 {
     return std::exchange(this->probe_requests, {});
 }
 
-std::vector<domain_watch::verdict> domain_watch::take_verdicts()
+std::vector<domain_reachability::reachability_change>
+domain_reachability::take_changes()
 {
     return std::exchange(this->changes, {});
 }
--- a/libraries/tagging/domain_watch.hpp
+++ b/libraries/tagging/domain_reachability.hpp
@@ -18,18 +18,19 @@
 /// domain's VMs before, and none of those VMs answers a probe. No method has a
 /// precondition, but the constructor has one. None is thread-safe; all run on
 /// the reducer's thread.
-class domain_watch
+class domain_reachability
 {
 public:
     /// Precondition: the settings outlive the object.
-    domain_watch(tagging_settings const& settings, failure_domain_id own);
+    domain_reachability(
+        tagging_settings const& settings, failure_domain_id own);
 
     /// Records that an upstream of the domain answered a caller at `at` or
     /// later.
-    void note_answered(time_point at, failure_domain_id domain);
+    void record_answered(time_point at, failure_domain_id domain);
 
     /// Records a message from a VM of the domain.
-    void note_heard(time_point now, failure_domain_id domain);
+    void record_message(time_point now, failure_domain_id domain);
 
     /// Whether an upstream's silence may lead to a probe of its domain, so that
     /// the caller has to count the domain's silent upstreams.
@@ -38,12 +39,12 @@
 
     /// Records that a caller retransmitted to an upstream of the domain, of
     /// which `silent_upstreams` are silent now.
-    void note_silent(
+    void record_silence(
         time_point now, failure_domain_id domain, std::size_t silent_upstreams);
 
     /// Requests new probes of the VMs of unreachable domains. To be called
     /// about once a second.
-    void ask_again(time_point now);
+    void probe_again(time_point now);
 
     /// Marks the domains as unreachable whose VMs did not answer a probe by the
     /// deadline.
@@ -57,17 +58,17 @@
 
     /// Returns the domains whose VMs are to be probed, added since the last
     /// call.
-    [[nodiscard]] std::vector<failure_domain_id> take_questions();
+    [[nodiscard]] std::vector<failure_domain_id> take_probe_requests();
 
     /// A domain that became unreachable or reachable.
-    struct verdict
+    struct reachability_change
     {
         failure_domain_id domain;
         bool is_unreachable = false;
     };
 
     /// Returns the changes since the last call.
-    [[nodiscard]] std::vector<verdict> take_verdicts();
+    [[nodiscard]] std::vector<reachability_change> take_changes();
 
 private:
     struct domain_state
@@ -89,7 +90,7 @@
     /// An ordered map, as the same events must give the same effects.
     std::map<failure_domain_id, domain_state> domains;
     std::vector<failure_domain_id> probe_requests;
-    std::vector<verdict> changes;
+    std::vector<reachability_change> changes;
 };
 
 } // namespace cairnhead
--- a/libraries/tagging/queue_delay_control.cpp
+++ b/libraries/tagging/queue_delay_control.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-void queue_delay_control::note_answer(
+void queue_delay_control::record_answer(
     time_point now, duration waited, duration target)
 {
     if (target <= duration::zero())
@@ -47,7 +47,7 @@
     this->latest_answer_at = now;
 }
 
-double queue_delay_control::share(time_point now)
+double queue_delay_control::refusal_share(time_point now)
 {
     if (now >= this->next_update_at)
         this->update(now);
--- a/libraries/tagging/queue_delay_control.hpp
+++ b/libraries/tagging/queue_delay_control.hpp
@@ -33,11 +33,11 @@
     /// Records that a request of the pool was answered `waited` after it passed
     /// this VM. An answer that takes longer than `target` is late. Does nothing
     /// if `target` is zero or negative. No precondition.
-    void note_answer(time_point now, duration waited, duration target);
+    void record_answer(time_point now, duration waited, duration target);
 
     /// Returns the share of openings to refuse now, from 0 to 1. Precondition:
     /// `now` never decreases from call to call.
-    [[nodiscard]] double share(time_point now);
+    [[nodiscard]] double refusal_share(time_point now);
 
     /// Whether there has been no answer for so long that the queue delay is
     /// unknown. No precondition.
--- a/libraries/tagging/cold_admission.cpp
+++ b/libraries/tagging/slow_start_limiter.cpp
@@ -1,4 +1,4 @@
-#include <tagging/cold_admission.hpp>
+#include <tagging/slow_start_limiter.hpp>
 
 #include <base/hash.hpp>
 
@@ -23,12 +23,12 @@
 cold_limit
 make_cold_limit(double openings_per_second, double overrun, double slack)
 {
-    auto const in_all = static_cast<std::uint32_t>(
+    auto const total = static_cast<std::uint32_t>(
         std::floor(openings_per_second * overrun + slack));
-    return {in_all, in_all / concurrent_views};
+    return {total, total / concurrent_views};
 }
 
-bool cold_admission::may_open(time_point now, std::uint32_t limit) const
+bool slow_start_limiter::may_open(time_point now, std::uint32_t limit) const
 {
     auto const recent = std::ranges::count_if(
         this->opened_at,
@@ -39,7 +39,7 @@
     return static_cast<std::size_t>(recent) < limit;
 }
 
-void cold_admission::note_opened(time_point now)
+void slow_start_limiter::record_opening(time_point now)
 {
     while (!this->opened_at.empty() && now >= this->opened_at.front() + window)
         this->opened_at.pop_front();
--- a/libraries/tagging/cold_admission.hpp
+++ b/libraries/tagging/slow_start_limiter.hpp
@@ -16,9 +16,9 @@
 struct cold_limit
 {
     /// From all VMs together.
-    std::uint32_t in_all = 0;
+    std::uint32_t total = 0;
     /// From one VM that may open flows at the upstream.
-    std::uint32_t from_one = 0;
+    std::uint32_t per_vm = 0;
 };
 
 /// Returns the limit for an upstream that can serve this many openings per
@@ -35,14 +35,14 @@
 /// is slow at first. Each opening is logged, because fixed windows would let
 /// twice the limit pass around the boundary of two windows.
 /// No method has a precondition; none is thread-safe.
-class cold_admission
+class slow_start_limiter
 {
 public:
     /// Whether one more opening now is within the limit.
     [[nodiscard]] bool may_open(time_point now, std::uint32_t limit) const;
 
     /// Logs an opening.
-    void note_opened(time_point now);
+    void record_opening(time_point now);
 
 private:
     std::deque<time_point> opened_at;
--- a/libraries/tagging/tag_router.cpp
+++ b/libraries/tagging/tag_router.cpp
@@ -106,8 +106,8 @@
     for (upstream_tag const tag : outcome.restarted)
         this->remove_flows_of(tag);
     this->replaced_upstreams.insert(
-        this->replaced_upstreams.end(), outcome.succeeded.begin(),
-        outcome.succeeded.end());
+        this->replaced_upstreams.end(), outcome.taken_over.begin(),
+        outcome.taken_over.end());
 }
 
 void tag_router::apply_listing(
@@ -179,10 +179,10 @@
         return this->drop(
             packet, drop_reason::unknown_flow, flow_rule::unknown_tag, effects);
     }
-    if (this->upstream_table.is_succeeded(*upstream))
+    if (this->upstream_table.is_address_taken_over(*upstream))
         return this->reset_flow_of_packet(packet, *upstream, effects);
     this->update_flow(now, packet, *upstream, effects);
-    this->hasten_check(now, packet, *upstream);
+    this->check_now(now, packet, *upstream);
     send(packet, *upstream, effects);
 }
 
@@ -350,7 +350,7 @@
         });
     this->recheck_unreachable(now);
     this->start_due_checks(now, effects);
-    this->domains.ask_again(now);
+    this->domains.probe_again(now);
 }
 
 bool tag_router::is_informed() const
@@ -384,7 +384,7 @@
 std::vector<upstream_candidate>
 tag_router::registered_upstreams(time_point now) const
 {
-    return this->upstream_table.registered_ones(now);
+    return this->upstream_table.registered_candidates(now);
 }
 
 tagged_explanation tag_router::explain(
--- a/libraries/tagging/tag_router.hpp
+++ b/libraries/tagging/tag_router.hpp
@@ -4,9 +4,9 @@
 #include <event/event.hpp>
 #include <event/settings.hpp>
 #include <registry/registry_snapshot.hpp>
-#include <tagging/domain_watch.hpp>
-#include <tagging/opening_returns.hpp>
-#include <tagging/pause_watch.hpp>
+#include <tagging/confirmation_tracker.hpp>
+#include <tagging/domain_reachability.hpp>
+#include <tagging/pause_detector.hpp>
 #include <tagging/pending_openings.hpp>
 #include <tagging/queue_delay_control.hpp>
 #include <tagging/tagged_flows.hpp>
@@ -84,7 +84,7 @@
     [[nodiscard]] std::optional<time_point> next_due() const;
 
     /// Records that a VM of the failure domain sent a message.
-    void note_heard(time_point now, failure_domain_id domain);
+    void record_domain_message(time_point now, failure_domain_id domain);
 
     /// Handles the result of a check of an upstream.
     void receive(
@@ -92,7 +92,7 @@
 
     /// The failure domains whose reachability has come into question since the
     /// last call, and whose VMs therefore have to be probed.
-    [[nodiscard]] std::vector<failure_domain_id> take_questions();
+    [[nodiscard]] std::vector<failure_domain_id> take_domains_to_probe();
 
     /// Removes expired flows and upstreams, and has unreachable upstreams and
     /// failure domains checked again.
@@ -202,7 +202,7 @@
         time_point now, packet_arrived const& packet, effect_list& effects);
     [[nodiscard]] upstream_tag
     effective_tag(packet_arrived const& packet) const;
-    void hasten_check(
+    void check_now(
         time_point now,
         packet_arrived const& packet,
         tagged_upstream& upstream);
@@ -274,7 +274,7 @@
     /// Versions of the listings above, and since when each is in force.
     registry_knowledge in_force;
     absl::flat_hash_map<endpoint, published_route const*> route_by_address;
-    domain_watch domains;
+    domain_reachability domains;
     tagged_upstreams upstream_table;
     tagged_flows flows;
     pending_openings unconfirmed;
--- a/libraries/tagging/tag_router_openings.cpp
+++ b/libraries/tagging/tag_router_openings.cpp
@@ -54,7 +54,7 @@
     bool const has_data = packet.phase == packet_phase::opening_with_data;
     bool const may_stay =
         upstream != nullptr &&
-        this->upstream_table.may_keep_opening(now, *upstream) &&
+        this->upstream_table.may_resend_opening(now, *upstream) &&
         this->route_by_address.contains(packet.destination);
     // The first upstream may have processed the data already, so no other
     // upstream may get it.
@@ -139,7 +139,7 @@
     constexpr std::uint64_t parts = 1000;
     auto const draw =
         static_cast<double>(hash_pair(packet.flow.value(), 1) % parts);
-    return draw < parts * control->second.share(now);
+    return draw < parts * control->second.refusal_share(now);
 }
 
 void tag_router::refuse(
@@ -180,7 +180,7 @@
     flow_ends const& ends,
     tagged_upstream& chosen)
 {
-    this->upstream_table.note_opened(now, chosen);
+    this->upstream_table.record_opening(now, chosen);
     this->add_flow(
         flow, {.caller = ends.caller,
                .destination = ends.destination,
--- a/libraries/tagging/tag_router_reach.cpp
+++ b/libraries/tagging/tag_router_reach.cpp
@@ -32,7 +32,7 @@
 bool tag_router::is_check_due(
     time_point now, tagged_upstream const& suspect) const
 {
-    bool const is_suspect = suspect.reach.is_doubted() ||
+    bool const is_suspect = suspect.reach.is_silent() ||
                             this->domains.is_unreachable(suspect.domain);
     return is_suspect && suspect.reach.is_check_due(now, this->settings);
 }
@@ -57,7 +57,7 @@
     effects.emplace_back(check_upstream{
         suspect.tag,
         {at.address, at.port},
-        this->upstream_table.choose_witnesses(suspect.tag),
+        this->upstream_table.choose_reference_upstreams(suspect.tag),
         at.life});
 }
 
@@ -128,7 +128,7 @@
     {
         tagged_upstream const* const replaced = this->upstream_table.find(tag);
         if (replaced == nullptr ||
-            !this->upstream_table.is_succeeded(*replaced))
+            !this->upstream_table.is_address_taken_over(*replaced))
             continue;
         this->reset_flows_of(
             now, *replaced, flow_rule::address_taken_over, effects);
@@ -192,7 +192,8 @@
 
 void tag_router::report_reachability_changes(effect_list& effects)
 {
-    for (domain_watch::verdict const& changed : this->domains.take_verdicts())
+    for (domain_reachability::reachability_change const& changed :
+         this->domains.take_changes())
     {
         auto const kind = changed.is_unreachable
                               ? report_kind::domain_unreachable
@@ -204,12 +205,12 @@
     }
 }
 
-void tag_router::hasten_check(
+void tag_router::check_now(
     time_point now, packet_arrived const& packet, tagged_upstream& upstream)
 {
     if (!packet.progress.has_data || !upstream.reach.is_unreachable(now))
         return;
-    upstream.reach.hasten_check(now);
+    upstream.reach.check_now(now);
     this->suspects.push_back(upstream.tag);
 }
 
@@ -294,14 +295,14 @@
     auto const route = this->route_by_address.find(destination);
     if (route == this->route_by_address.end())
         return;
-    this->delay_controls[upstream.registered.pool].note_answer(
+    this->delay_controls[upstream.registered.pool].record_answer(
         now, now - flow.last_new_data_at, route->second->target_latency);
 }
 
 void tag_router::record_answer(time_point at, tagged_upstream& upstream)
 {
-    tagged_upstreams::note_answered(at, upstream);
-    this->domains.note_answered(at, upstream.domain);
+    tagged_upstreams::record_answered(at, upstream);
+    this->domains.record_answered(at, upstream.domain);
 }
 
 void tag_router::record_unanswered(
@@ -315,7 +316,7 @@
     time_point now, tagged_upstream& upstream, effect_list& effects)
 {
     bool const was_avoided = now < upstream.avoided_until;
-    this->upstream_table.note_unanswered(now, upstream);
+    this->upstream_table.record_unanswered(now, upstream);
     if (was_avoided)
         return;
     auto facts = this->evidence_of(now, upstream);
@@ -332,22 +333,22 @@
 
 void tag_router::suspect(time_point now, tagged_upstream& upstream)
 {
-    upstream.reach.note_silent(now);
+    upstream.reach.record_silence(now);
     this->suspects.push_back(upstream.tag);
     if (this->domains.may_be_unreachable(now, upstream.domain))
-        this->domains.note_silent(
+        this->domains.record_silence(
             now, upstream.domain,
             this->upstream_table.count_silent(upstream.domain));
 }
 
-void tag_router::note_heard(time_point now, failure_domain_id domain)
+void tag_router::record_domain_message(time_point now, failure_domain_id domain)
 {
-    this->domains.note_heard(now, domain);
+    this->domains.record_message(now, domain);
 }
 
-std::vector<failure_domain_id> tag_router::take_questions()
+std::vector<failure_domain_id> tag_router::take_domains_to_probe()
 {
-    return this->domains.take_questions();
+    return this->domains.take_probe_requests();
 }
 
 } // namespace cairnhead
--- a/libraries/tagging/tagged_upstreams.cpp
+++ b/libraries/tagging/tagged_upstreams.cpp
@@ -18,7 +18,7 @@
 /// Further doublings of the back-off make no difference, and would overflow.
 constexpr std::uint32_t maximum_doublings = 16;
 
-upstream_place endpoint_of(tagged_upstream const& upstream)
+upstream_endpoint endpoint_of(tagged_upstream const& upstream)
 {
     return {upstream.registered.address, upstream.registered.port};
 }
@@ -30,7 +30,8 @@
 bool takes_over(tagged_upstream const& later, tagged_upstream const& earlier)
 {
     bool const is_registered = !later.missing_since;
-    bool const was_learned_later = later.learned_with > earlier.learned_with;
+    bool const was_learned_later =
+        later.learned_in_update > earlier.learned_in_update;
     incarnation const unknown{};
     bool const may_have_started_later =
         later.registered.life == unknown ||
@@ -43,7 +44,7 @@
 
 tagged_upstreams::tagged_upstreams(
     tagging_settings const& chosen,
-    domain_watch const& reachability,
+    domain_reachability const& reachability,
     failure_domain_id own,
     std::uint64_t seed)
     : settings(chosen), domains(reachability), own_domain(own), random(seed)
@@ -127,7 +128,7 @@
         known->cold_until =
             now + std::chrono::milliseconds(registered.cold_milliseconds);
         known->registered = registered;
-        known->learned_with = this->update_count;
+        known->learned_in_update = this->update_count;
         this->check_address_takeover(*known, outcome);
         this->add_to_index(this->upstreams.size() - 1);
         return;
@@ -143,7 +144,7 @@
     known->missing_since.reset();
     if (is_other_instance)
     {
-        known->learned_with = this->update_count;
+        known->learned_in_update = this->update_count;
         this->check_address_takeover(*known, outcome);
     }
     if (is_restarted)
@@ -165,10 +166,11 @@
     if (before == nullptr || before == &registered)
         return;
     if (takes_over(registered, *before))
-        outcome.succeeded.push_back(before->tag);
+        outcome.taken_over.push_back(before->tag);
 }
 
-bool tagged_upstreams::is_succeeded(tagged_upstream const& upstream) const
+bool tagged_upstreams::is_address_taken_over(
+    tagged_upstream const& upstream) const
 {
     auto const newest = this->by_endpoint.find(endpoint_of(upstream));
     if (newest == this->by_endpoint.end() || newest->second == upstream.tag)
@@ -200,7 +202,8 @@
     auto const [newest, is_first] =
         this->by_endpoint.try_emplace(endpoint_of(known), known.tag);
     tagged_upstream const* const before = this->find(newest->second);
-    if (before == nullptr || before->learned_with < known.learned_with)
+    if (before == nullptr ||
+        before->learned_in_update < known.learned_in_update)
         newest->second = known.tag;
     this->pools[known.registered.pool].push_back(index);
 }
@@ -243,10 +246,10 @@
                                        : &this->upstreams[found->second];
 }
 
-upstream_belief
+upstream_view
 tagged_upstreams::view_of(time_point now, tagged_upstream const& upstream) const
 {
-    upstream_belief view;
+    upstream_view view;
     view.verdict = this->verdict_on(now, upstream);
     view.load_permille = static_cast<std::uint32_t>(
         std::lround(this->load_of(now, upstream) * whole_permille));
@@ -269,7 +272,7 @@
 }
 
 std::vector<upstream_candidate>
-tagged_upstreams::registered_ones(time_point now) const
+tagged_upstreams::registered_candidates(time_point now) const
 {
     std::vector<upstream_candidate> found;
     for (tagged_upstream const& one : this->upstreams)
@@ -297,28 +300,28 @@
         [](upstream_candidate const& one)
         {
             return std::tuple(
-                tier_for(one.belief.verdict), one.belief.load_permille,
+                tier_for(one.view.verdict), one.view.load_permille,
                 one.registered.instance);
         });
     return found;
 }
 
-void tagged_upstreams::note_unanswered(
+void tagged_upstreams::record_unanswered(
     time_point now, tagged_upstream& upstream) const
 {
     auto const doublings = std::min(upstream.failures, maximum_doublings);
     duration const backoff =
         this->settings.avoidance_minimum * (1LL << doublings);
     ++upstream.failures;
-    upstream.reach.note_silent(now);
+    upstream.reach.record_silence(now);
     upstream.avoided_until =
         now + std::min(backoff, this->settings.avoidance_maximum);
 }
 
-void tagged_upstreams::note_answered(time_point at, tagged_upstream& upstream)
+void tagged_upstreams::record_answered(time_point at, tagged_upstream& upstream)
 {
-    upstream.reach.note_answered(at);
-    if (upstream.reach.is_doubted())
+    upstream.reach.record_answered(at);
+    if (upstream.reach.is_silent())
         return;
     upstream.failures = 0;
     upstream.avoided_until = std::min(upstream.avoided_until, at);
@@ -330,19 +333,19 @@
         this->upstreams,
         [domain](tagged_upstream const& one)
         {
-            return one.domain == domain && one.reach.is_doubted() &&
+            return one.domain == domain && one.reach.is_silent() &&
                    !one.missing_since;
         }));
 }
 
 std::vector<connection_target>
-tagged_upstreams::choose_witnesses(upstream_tag suspect) const
+tagged_upstreams::choose_reference_upstreams(upstream_tag suspect) const
 {
     tagged_upstream const* near = nullptr;
     tagged_upstream const* far = nullptr;
     for (tagged_upstream const& one : this->upstreams)
     {
-        if (one.tag == suspect || one.missing_since || one.reach.is_doubted())
+        if (one.tag == suspect || one.missing_since || one.reach.is_silent())
             continue;
         auto& best = one.domain == this->own_domain ? near : far;
         if (best == nullptr ||
--- a/libraries/tagging/tagged_upstreams.hpp
+++ b/libraries/tagging/tagged_upstreams.hpp
@@ -3,10 +3,10 @@
 #include <event/effect.hpp>
 #include <event/settings.hpp>
 #include <registry/tag.hpp>
-#include <tagging/cold_admission.hpp>
-#include <tagging/domain_watch.hpp>
-#include <tagging/upstream_belief.hpp>
+#include <tagging/domain_reachability.hpp>
+#include <tagging/slow_start_limiter.hpp>
 #include <tagging/upstream_reach.hpp>
+#include <tagging/upstream_view.hpp>
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -29,12 +29,12 @@
     failure_domain_id domain;
     /// Number of the registry update that first listed the upstream at this VM.
     /// Later updates have higher numbers.
-    std::uint64_t learned_with = 0;
+    std::uint64_t learned_in_update = 0;
     /// Set while the registry does not list the upstream.
     std::optional<time_point> missing_since;
     /// End of slow start.
     time_point cold_until;
-    cold_admission cold_openings;
+    slow_start_limiter slow_start_openings;
     /// Consecutive openings that the upstream left unanswered.
     std::uint32_t failures = 0;
     /// Until then the upstream gets new flows only if no better one is left.
@@ -45,15 +45,15 @@
 };
 
 /// Address and port at which an upstream receives packets.
-struct upstream_place
+struct upstream_endpoint
 {
     ipv4_address address;
     std::uint16_t port = 0;
 
-    bool operator==(upstream_place const&) const = default;
+    bool operator==(upstream_endpoint const&) const = default;
 
     template <typename Hash>
-    friend Hash AbslHashValue(Hash state, upstream_place const& place)
+    friend Hash AbslHashValue(Hash state, upstream_endpoint const& place)
     {
         return Hash::combine(
             std::move(state), place.address.value(), place.port);
@@ -79,7 +79,7 @@
 {
     registered_upstream registered;
     std::uint32_t flows = 0;
-    upstream_belief belief;
+    upstream_view view;
 };
 
 /// Table of the upstreams that the registry lists or listed recently, by tag
@@ -92,7 +92,7 @@
     /// Precondition: the settings outlive the object.
     tagged_upstreams(
         tagging_settings const& settings,
-        domain_watch const& reachability,
+        domain_reachability const& reachability,
         failure_domain_id own,
         std::uint64_t seed);
 
@@ -104,7 +104,7 @@
         std::vector<upstream_tag> restarted;
         /// Upstreams whose address now belongs to another one, so that they
         /// have stopped.
-        std::vector<upstream_tag> succeeded;
+        std::vector<upstream_tag> taken_over;
     };
 
     /// Sets the failure domains that operators evacuate from now on. When an
@@ -122,10 +122,10 @@
     /// Whether an opening that was already sent to the upstream may be sent to
     /// it again.
     [[nodiscard]] bool
-    may_keep_opening(time_point now, tagged_upstream const& upstream) const;
+    may_resend_opening(time_point now, tagged_upstream const& upstream) const;
 
     /// Records that this VM opened a flow at the upstream.
-    void note_opened(time_point now, tagged_upstream& upstream) const;
+    void record_opening(time_point now, tagged_upstream& upstream) const;
 
     /// Applies the differences between the previous listing of the registry and
     /// the current one.
@@ -139,7 +139,8 @@
     /// then reach the new upstream, which ignores packets meant for the old
     /// one. Neither checks nor silence reveal this, and callers would wait
     /// until their deadlines.
-    [[nodiscard]] bool is_succeeded(tagged_upstream const& upstream) const;
+    [[nodiscard]] bool
+    is_address_taken_over(tagged_upstream const& upstream) const;
 
     /// Removes upstreams that have been missing from the registry for longer
     /// than the retention setting.
@@ -160,7 +161,7 @@
     /// The upstreams that the registry lists, with their state as this VM sees
     /// it.
     [[nodiscard]] std::vector<upstream_candidate>
-    registered_ones(time_point now) const;
+    registered_candidates(time_point now) const;
 
     /// The pool's upstreams in the order in which a new flow would prefer them,
     /// apart from the random choice among equals.
@@ -171,16 +172,16 @@
     [[nodiscard]] std::size_t count_silent(failure_domain_id domain) const;
 
     /// Records that the upstream left an opening unanswered.
-    void note_unanswered(time_point now, tagged_upstream& upstream) const;
+    void record_unanswered(time_point now, tagged_upstream& upstream) const;
 
     /// Records that the upstream answered a caller at `at` or later.
-    static void note_answered(time_point at, tagged_upstream& upstream);
+    static void record_answered(time_point at, tagged_upstream& upstream);
 
     /// Reference upstreams for a check of the suspect: those that answered
     /// callers most recently, first one of the own failure domain, then one of
     /// another. Contains at most these two.
     [[nodiscard]] std::vector<connection_target>
-    choose_witnesses(upstream_tag suspect) const;
+    choose_reference_upstreams(upstream_tag suspect) const;
 
     /// The failure domain's name, for logs and operators; empty if no upstream
     /// is in it.
@@ -207,7 +208,7 @@
     is_cold_and_full(time_point now, tagged_upstream const& upstream) const;
     [[nodiscard]] pool_warmup const*
     warmup_of(tagged_upstream const& upstream) const;
-    [[nodiscard]] upstream_belief
+    [[nodiscard]] upstream_view
     view_of(time_point now, tagged_upstream const& upstream) const;
     [[nodiscard]] upstream_candidate
     candidate_of(time_point now, tagged_upstream const& upstream) const;
@@ -226,7 +227,7 @@
     void rebuild_index();
 
     tagging_settings const& settings;
-    domain_watch const& domains;
+    domain_reachability const& domains;
     failure_domain_id own_domain;
     std::mt19937_64 random;
     std::vector<tagged_upstream> upstreams;
@@ -236,7 +237,7 @@
     absl::flat_hash_map<upstream_tag, std::size_t> by_tag;
     std::map<std::string, std::vector<std::size_t>, std::less<>> pools;
     /// The upstream that was listed last at each address.
-    absl::flat_hash_map<upstream_place, upstream_tag> by_endpoint;
+    absl::flat_hash_map<upstream_endpoint, upstream_tag> by_endpoint;
     /// Number of registry updates so far.
     std::uint64_t update_count = 0;
     /// Listed upstreams whose tag another upstream holds. Sorted by instance.
--- a/libraries/tagging/tagged_upstreams_choice.cpp
+++ b/libraries/tagging/tagged_upstreams_choice.cpp
@@ -71,10 +71,11 @@
     bool const is_opener =
         upstream.domain == this->own_domain &&
         this->opener.is_appointed(upstream.registered.instance);
-    return !is_opener || !upstream.cold_openings.may_open(now, limit.from_one);
+    return !is_opener ||
+           !upstream.slow_start_openings.may_open(now, limit.per_vm);
 }
 
-bool tagged_upstreams::may_keep_opening(
+bool tagged_upstreams::may_resend_opening(
     time_point now, tagged_upstream const& upstream) const
 {
     switch (this->verdict_on(now, upstream))
@@ -88,11 +89,11 @@
     }
 }
 
-void tagged_upstreams::note_opened(
+void tagged_upstreams::record_opening(
     time_point now, tagged_upstream& upstream) const
 {
     if (now < upstream.cold_until)
-        upstream.cold_openings.note_opened(now);
+        upstream.slow_start_openings.record_opening(now);
 }
 
 upstream_choice tagged_upstreams::choose(
@@ -182,7 +183,7 @@
         return upstream_verdict::draining;
     if (this->evacuated.contains(upstream.domain))
         return upstream_verdict::evacuated;
-    if (this->is_succeeded(upstream))
+    if (this->is_address_taken_over(upstream))
         return upstream_verdict::gone;
     if (upstream.missing_since)
     {
--- a/libraries/tagging/upstream_reach.cpp
+++ b/libraries/tagging/upstream_reach.cpp
@@ -48,7 +48,7 @@
         this->current);
 }
 
-void upstream_reach::note_answered(time_point at)
+void upstream_reach::record_answered(time_point at)
 {
     this->last_answer_at = std::max(this->last_answer_at, at);
     auto const since = this->silent_since();
@@ -58,7 +58,7 @@
     this->current = answering{};
 }
 
-void upstream_reach::note_silent(time_point now)
+void upstream_reach::record_silence(time_point now)
 {
     if (std::holds_alternative<answering>(this->current))
         this->current = silent{now};
@@ -66,7 +66,7 @@
         running->silent_since = running->silent_since.value_or(now);
 }
 
-bool upstream_reach::is_doubted() const
+bool upstream_reach::is_silent() const
 {
     return this->silent_since().has_value();
 }
@@ -136,7 +136,7 @@
     return reach_change::found_unreachable;
 }
 
-void upstream_reach::hasten_check(time_point now)
+void upstream_reach::check_now(time_point now)
 {
     if (std::holds_alternative<unreachable>(this->current))
         this->next_check_at = std::min(this->next_check_at, now);
--- a/libraries/tagging/upstream_reach.hpp
+++ b/libraries/tagging/upstream_reach.hpp
@@ -42,14 +42,14 @@
 {
 public:
     /// Records that the upstream answered a caller at `at`.
-    void note_answered(time_point at);
+    void record_answered(time_point at);
 
     /// Records that a caller retransmitted, or that an opening was not
     /// answered.
-    void note_silent(time_point now);
+    void record_silence(time_point now);
 
     /// Whether a caller is waiting without an answer, as far as this VM knows.
-    [[nodiscard]] bool is_doubted() const;
+    [[nodiscard]] bool is_silent() const;
 
     /// When the silence began, if the upstream is silent.
     [[nodiscard]] std::optional<time_point> silent_since() const;
@@ -77,7 +77,7 @@
 
     /// Makes the next check of an unreachable upstream due now. Called when a
     /// caller sends data to it, as only a new check may end the flow.
-    void hasten_check(time_point now);
+    void check_now(time_point now);
 
 private:
     struct answering
--- a/libraries/tagging/upstream_belief.hpp
+++ b/libraries/tagging/upstream_view.hpp
@@ -32,7 +32,7 @@
 };
 
 /// The state of an upstream as one VM sees it, with the evidence.
-struct upstream_belief
+struct upstream_view
 {
     upstream_verdict verdict = upstream_verdict::ready;
     /// Flows per slot, in thousandths, as placement compares them. Larger for
--- a/libraries/versions/document_name.cpp
+++ b/libraries/versions/document_name.cpp
@@ -32,7 +32,7 @@
 
 bool is_document_name(std::string_view name)
 {
-    if (name.size() > maximum_document_name)
+    if (name.size() > maximum_document_name_bytes)
         return false;
     if (name == allotment_document_name || is_registry_name(name))
         return true;
--- a/libraries/versions/document_name.hpp
+++ b/libraries/versions/document_name.hpp
@@ -19,7 +19,7 @@
 {
 
 /// Longer names are ignored; several stamps must fit in one datagram.
-inline constexpr std::size_t maximum_document_name = 200;
+inline constexpr std::size_t maximum_document_name_bytes = 200;
 
 /// Whether this is the name of a registry document. Those belong to no
 /// organisation and need no allotment.
--- a/libraries/versions/fetch_queue.cpp
+++ b/libraries/versions/fetch_queue.cpp
@@ -18,7 +18,7 @@
     return this->wanted.try_emplace(std::string(name), fresh).first->second;
 }
 
-void fetch_queue::note_peer(
+void fetch_queue::record_peer(
     std::string_view name, vm_id peer, document_version version)
 {
     auto& item = this->find_or_add(name);
@@ -36,7 +36,8 @@
     retry_at_once(item, earlier_target);
 }
 
-void fetch_queue::note_platform(std::string_view name, document_version version)
+void fetch_queue::record_platform(
+    std::string_view name, document_version version)
 {
     auto& item = this->find_or_add(name);
     auto const earlier_target = get_target(item);
--- a/libraries/versions/fetch_queue.hpp
+++ b/libraries/versions/fetch_queue.hpp
@@ -43,11 +43,12 @@
 
     /// Records that a peer holds this version. Precondition: the version is
     /// above the one that this VM holds.
-    void note_peer(std::string_view name, vm_id peer, document_version version);
+    void
+    record_peer(std::string_view name, vm_id peer, document_version version);
 
     /// Records that the platform lists this version. Precondition: as for
     /// `record_peer`.
-    void note_platform(std::string_view name, document_version version);
+    void record_platform(std::string_view name, document_version version);
 
     /// Removes the announcements of all peers but these.
     void keep_peers(std::span<document_peer const> peers);
--- a/libraries/versions/joiner_line.cpp
+++ b/libraries/versions/join_queue.cpp
@@ -1,4 +1,4 @@
-#include <versions/joiner_line.hpp>
+#include <versions/join_queue.hpp>
 
 #include <algorithm>
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-joiner_line::joiner_line(
+join_queue::join_queue(
     version_settings const& settings,
     vm_identity const& own,
     std::uint64_t random_seed)
@@ -42,7 +42,7 @@
 {
 }
 
-std::optional<join_referral> joiner_line::ask(
+std::optional<join_referral> join_queue::ask(
     time_point now,
     vm_id joiner,
     join_request const& request,
@@ -69,7 +69,7 @@
         joiner, request, domain_arrivals, local.has_documents);
 }
 
-joiner_line::arrivals& joiner_line::record_arrival(
+join_queue::arrivals& join_queue::record_arrival(
     time_point now, vm_id vm, arrivals& recorded, std::size_t limit)
 {
     std::erase_if(
@@ -84,26 +84,26 @@
     return recorded;
 }
 
-void joiner_line::note_holder(
+void join_queue::record_holder(
     time_point now, vm_id holder, failure_domain_id domain)
 {
     record_arrival(now, holder, this->holders[domain], maximum_holders);
 }
 
-bool joiner_line::has_room_for(vm_id joiner) const
+bool join_queue::has_room_for(vm_id joiner) const
 {
     bool const is_queued =
         std::ranges::find(this->queue, joiner) != this->queue.end();
     return is_queued || this->queue.size() < maximum_queue_length;
 }
 
-void joiner_line::enqueue(vm_id joiner)
+void join_queue::enqueue(vm_id joiner)
 {
     if (std::ranges::find(this->queue, joiner) == this->queue.end())
         this->queue.push_back(joiner);
 }
 
-std::optional<join_referral> joiner_line::refer_to_queued(vm_id joiner)
+std::optional<join_referral> join_queue::refer_to_queued(vm_id joiner)
 {
     // The queued joiners are named in turn, so that each receives as many
     // referred joiners.
@@ -118,7 +118,7 @@
     return referral;
 }
 
-std::optional<join_referral> joiner_line::refer_to_members(
+std::optional<join_referral> join_queue::refer_to_members(
     vm_id joiner, failure_domain_id domain, local_state const& local)
 {
     std::vector<vm_id> members;
@@ -132,7 +132,7 @@
     return join_referral{this->sample(std::move(members)), false};
 }
 
-std::optional<join_referral> joiner_line::refer_to_holders(
+std::optional<join_referral> join_queue::refer_to_holders(
     time_point now, vm_id joiner, failure_domain_id domain)
 {
     join_referral referral;
@@ -152,7 +152,7 @@
     return referral;
 }
 
-std::optional<join_referral> joiner_line::refer_by_arrival(
+std::optional<join_referral> join_queue::refer_by_arrival(
     vm_id joiner,
     join_request const& request,
     arrivals const& domain_arrivals,
@@ -188,7 +188,7 @@
     return join_referral{{domain_arrivals[parent].vm}, false};
 }
 
-std::vector<vm_id> joiner_line::sample(std::vector<vm_id> candidates)
+std::vector<vm_id> join_queue::sample(std::vector<vm_id> candidates)
 {
     std::vector<vm_id> chosen;
     std::ranges::sample(
@@ -197,7 +197,7 @@
     return chosen;
 }
 
-std::vector<vm_id> joiner_line::take_due(time_point now)
+std::vector<vm_id> join_queue::take_due(time_point now)
 {
     if (now >= this->next_period_at)
     {
--- a/libraries/versions/joiner_line.hpp
+++ b/libraries/versions/join_queue.hpp
@@ -31,10 +31,10 @@
 ///
 /// No method has a precondition unless its comment states one; none is
 /// thread-safe.
-class joiner_line
+class join_queue
 {
 public:
-    joiner_line(
+    join_queue(
         version_settings const& settings,
         vm_identity const& self,
         std::uint64_t random_seed);
@@ -48,7 +48,7 @@
     };
 
     /// Records that a VM of the domain has documents and can serve others.
-    void note_holder(time_point now, vm_id holder, failure_domain_id domain);
+    void record_holder(time_point now, vm_id holder, failure_domain_id domain);
 
     /// Handles the request of a joiner. Returns which VMs the joiner is to ask
     /// instead, or nothing if this VM has queued it.
--- a/libraries/versions/joining.cpp
+++ b/libraries/versions/joining.cpp
@@ -67,7 +67,7 @@
             : now + add_jitter(unanswered_read_delay, random);
 }
 
-void joining::found_long()
+void joining::record_several_pages()
 {
     this->has_several_pages = true;
 }
@@ -132,7 +132,7 @@
     this->is_reading_first_page |=
         now >= this->first_page_read_at && !this->was_referred;
     return this->is_reading_first_page && !this->has_several_pages
-               ? platform_access::glancing
+               ? platform_access::first_page
                : platform_access::none;
 }
 
@@ -149,7 +149,7 @@
     return next;
 }
 
-bool joining::reads_on(time_point now) const
+bool joining::keeps_reading(time_point now) const
 {
     return this->has_begun && (this->is_seed || now >= this->complete_read_at);
 }
--- a/libraries/versions/joining.hpp
+++ b/libraries/versions/joining.hpp
@@ -54,7 +54,7 @@
         time_point now, join_referral const& referral, version_random& random);
 
     /// Records that the platform holds more than one page.
-    void found_long();
+    void record_several_pages();
 
     /// How much of the platform this VM is to read while it has no documents.
     [[nodiscard]] platform_access choose_access(time_point now);
@@ -65,7 +65,7 @@
     [[nodiscard]] std::optional<time_point> next_due(time_point now) const;
 
     /// Whether this VM continues to read for others once it has documents.
-    [[nodiscard]] bool reads_on(time_point now) const;
+    [[nodiscard]] bool keeps_reading(time_point now) const;
 
 private:
     vm_identity self;
--- a/libraries/versions/listing_parts.hpp
+++ b/libraries/versions/listing_parts.hpp
@@ -12,7 +12,7 @@
 /// last part has the given kind; the others are answers, because a request in
 /// several parts would be answered once for each part. Without stamps the
 /// result is one empty part. Precondition: no name is longer than
-/// `maximum_document_name`. Thread safety: no shared state.
+/// `maximum_document_name_bytes`. Thread safety: no shared state.
 [[nodiscard]] std::vector<document_listing>
 split_listing(listing_kind kind, std::span<document_stamp const> stamps);
 
--- a/libraries/versions/platform_watch.cpp
+++ b/libraries/versions/platform_watch.cpp
@@ -40,7 +40,7 @@
         .after = this->after,
         .wait = this->wait,
         .known = {},
-        .extent = access == platform_access::glancing
+        .extent = access == platform_access::first_page
                       ? reading_extent::one_page
                       : reading_extent::everything});
 }
@@ -72,7 +72,7 @@
     this->after = index;
 }
 
-void platform_watch::put_off()
+void platform_watch::end_first_page_read()
 {
     this->deadline.reset();
 }
@@ -87,7 +87,7 @@
     this->next_start = this->delay.fail(now, random);
 }
 
-void platform_watch::start_anew(time_point now)
+void platform_watch::restart(time_point now)
 {
     this->deadline.reset();
     this->next_start = now;
--- a/libraries/versions/platform_watch.hpp
+++ b/libraries/versions/platform_watch.hpp
@@ -14,7 +14,7 @@
 {
     none,
     /// The first page only.
-    glancing,
+    first_page,
     reading,
 };
 
@@ -44,14 +44,14 @@
 
     /// The platform holds more than one page: ends the watch that was to read
     /// only the first one.
-    void put_off();
+    void end_first_page_read();
 
     /// A watch failed.
     void failed(time_point now, version_random& random, effect_list& effects);
 
     /// Starts the next watch at the next tick, even while one is in progress:
     /// the one in progress may hang.
-    void start_anew(time_point now);
+    void restart(time_point now);
 
     /// Whether the platform ever answered.
     [[nodiscard]] bool has_answered() const;
--- a/libraries/versions/reader_succession.cpp
+++ b/libraries/versions/reader_election.cpp
@@ -1,4 +1,4 @@
-#include <versions/reader_succession.hpp>
+#include <versions/reader_election.hpp>
 
 #include <versions/peer_selection.hpp>
 
@@ -46,14 +46,14 @@
 
 } // namespace
 
-reader_succession::reader_succession(
+reader_election::reader_election(
     version_settings const& settings, vm_identity const& own)
     : readers(settings.readers_per_domain),
       heartbeat_timeout(settings.reader_patience), self(own)
 {
 }
 
-void reader_succession::set_peers(
+void reader_election::set_peers(
     time_point now, std::span<document_peer const> peers)
 {
     this->other_candidates.clear();
@@ -95,51 +95,50 @@
                                              : std::min(this->turn_at, latest);
 }
 
-bool reader_succession::outranks_self(vm_id other) const
+bool reader_election::outranks_self(vm_id other) const
 {
     return reader_rank(this->self.domain, other)
         .is_above(reader_rank(this->self.domain, this->self.id));
 }
 
-bool reader_succession::is_takeover_disabled() const
+bool reader_election::is_takeover_disabled() const
 {
     return this->heartbeat_timeout == duration::zero();
 }
 
-void reader_succession::begin()
+void reader_election::begin()
 {
     this->is_active_reader = true;
 }
 
-bool reader_succession::is_candidate() const
+bool reader_election::is_candidate() const
 {
     return this->rank < this->readers + maximum_substitutes;
 }
 
-std::size_t reader_succession::candidate_count() const
+std::size_t reader_election::candidate_count() const
 {
     return std::min(
         this->other_candidates.size() + 1, this->readers + maximum_substitutes);
 }
 
-time_point reader_succession::first_turn() const
+time_point reader_election::first_turn() const
 {
     return this->search_starts_at + search_step * static_cast<int>(this->rank);
 }
 
-bool reader_succession::is_searching(time_point now) const
+bool reader_election::is_searching(time_point now) const
 {
     return now < this->search_starts_at +
                      search_step * static_cast<int>(this->candidate_count());
 }
 
-time_point
-reader_succession::turn_after(time_point now, std::size_t turns) const
+time_point reader_election::turn_after(time_point now, std::size_t turns) const
 {
     return now + rotation_step + search_step * (static_cast<int>(turns) - 1);
 }
 
-std::size_t reader_succession::turns_after(vm_id caller) const
+std::size_t reader_election::turns_after(vm_id caller) const
 {
     // The other candidates are sorted by rank, without this VM.
     auto const found = std::ranges::find(this->other_candidates, caller);
@@ -152,14 +151,14 @@
     return std::clamp<std::size_t>(turns, 1, all);
 }
 
-void reader_succession::heard_attempt(time_point now, vm_id caller)
+void reader_election::receive_attempt(time_point now, vm_id caller)
 {
     // During the search each VM has a turn that does not depend on the others.
     if (!this->is_takeover_disabled() && !this->is_searching(now))
         this->turn_at = this->turn_after(now, this->turns_after(caller));
 }
 
-void reader_succession::heard(time_point now, vm_id reader)
+void reader_election::receive_heartbeat(time_point now, vm_id reader)
 {
     this->search_starts_at = now + this->heartbeat_timeout;
     this->turn_at = this->first_turn();
@@ -174,7 +173,7 @@
         this->is_active_reader = true;
 }
 
-std::vector<vm_id> reader_succession::answered(time_point now)
+std::vector<vm_id> reader_election::answered(time_point now)
 {
     // A VM that reads only to catch up is not a reader that others can rely on.
     if (this->is_takeover_disabled() || !this->is_reading(now))
@@ -196,26 +195,26 @@
     return recipients;
 }
 
-void reader_succession::failed(time_point now)
+void reader_election::failed(time_point now)
 {
     this->is_call_pending = false;
     this->is_active_reader = false;
     this->no_takeover_until = now + this->takeover_pause();
 }
 
-duration reader_succession::takeover_pause() const
+duration reader_election::takeover_pause() const
 {
     auto const others = static_cast<int>(this->other_candidates.size());
     return std::max<duration>(
         takeover_pause_step * others, shortest_takeover_pause);
 }
 
-bool reader_succession::is_elected() const
+bool reader_election::is_elected() const
 {
     return this->rank < this->readers;
 }
 
-bool reader_succession::is_reading(time_point now) const
+bool reader_election::is_reading(time_point now) const
 {
     if (this->is_takeover_disabled())
         return this->is_elected();
@@ -225,8 +224,7 @@
            now >= this->turn_at;
 }
 
-std::optional<reader_succession::turn>
-reader_succession::take_turn(time_point now)
+std::optional<reader_election::turn> reader_election::take_turn(time_point now)
 {
     bool const has_turn = !this->is_takeover_disabled() &&
                           this->is_candidate() && now >= this->turn_at;
--- a/libraries/versions/reader_succession.hpp
+++ b/libraries/versions/reader_election.hpp
@@ -47,12 +47,11 @@
 ///
 /// No method has a precondition unless its comment states one; none is
 /// thread-safe.
-class reader_succession
+class reader_election
 {
 public:
     /// Precondition: `readers_per_domain` is above zero.
-    reader_succession(
-        version_settings const& settings, vm_identity const& self);
+    reader_election(version_settings const& settings, vm_identity const& self);
 
     /// Sets the peers that are reachable now, without this VM.
     void set_peers(time_point now, std::span<document_peer const> peers);
@@ -63,11 +62,11 @@
     void begin();
 
     /// This VM received a heartbeat: the platform answered the reader.
-    void heard(time_point now, vm_id reader);
+    void receive_heartbeat(time_point now, vm_id reader);
 
     /// This VM received an announcement: the caller calls the platform, because
     /// it received no heartbeat for a while.
-    void heard_attempt(time_point now, vm_id caller);
+    void receive_attempt(time_point now, vm_id caller);
 
     /// The platform answered this VM. Returns the VMs that a heartbeat is to be
     /// sent to; none if no heartbeat is due.
--- a/libraries/versions/relay_memory.hpp
+++ b/libraries/versions/relayed_changes.hpp
@@ -17,7 +17,7 @@
 ///
 /// No method has a precondition unless its comment states one; none is
 /// thread-safe.
-class relay_memory
+class relayed_changes
 {
 public:
     /// Whether this change was not relayed yet; records it as relayed.
--- a/libraries/versions/version_store.cpp
+++ b/libraries/versions/version_store.cpp
@@ -80,7 +80,7 @@
         this->documents.empty() ? std::nullopt : this->election.take_turn(now);
     if (attempt)
     {
-        this->watch.start_anew(now);
+        this->watch.restart(now);
         for (vm_id const listener : attempt->announced_to)
             effects.push_back(send_control{listener, reading_attempt{}});
     }
@@ -138,7 +138,7 @@
     {
         if (!is_listed_name(stamp.name) || !this->is_useful(stamp))
             continue;
-        this->fetches.note_peer(stamp.name, sender, stamp.version);
+        this->fetches.record_peer(stamp.name, sender, stamp.version);
     }
     this->record_completeness(message);
     if (message.kind == listing_kind::request && !this->documents.empty())
--- a/libraries/versions/version_store.hpp
+++ b/libraries/versions/version_store.hpp
@@ -8,11 +8,11 @@
 #include <versions/document_peer.hpp>
 #include <versions/document_table.hpp>
 #include <versions/fetch_queue.hpp>
-#include <versions/joiner_line.hpp>
+#include <versions/join_queue.hpp>
 #include <versions/joining.hpp>
 #include <versions/platform_watch.hpp>
-#include <versions/reader_succession.hpp>
-#include <versions/relay_memory.hpp>
+#include <versions/reader_election.hpp>
+#include <versions/relayed_changes.hpp>
 
 #include <absl/container/flat_hash_map.h>
 #include <memory>
@@ -243,14 +243,14 @@
     document_table documents;
     fetch_queue fetches;
     platform_watch watch;
-    reader_succession election;
+    reader_election election;
     joining join;
-    joiner_line joiners;
+    join_queue joiners;
     std::shared_ptr<directory const> in_force;
     std::uint64_t directory_generation = 0;
     /// Names of texts that were received and not yet announced to peers.
     std::vector<std::string> unannounced;
-    relay_memory relays;
+    relayed_changes relays;
     /// When a listing may be requested from each peer again.
     absl::flat_hash_map<vm_id, time_point> next_listing_requests;
     /// Set by the first event.
--- a/libraries/versions/version_store_joining.cpp
+++ b/libraries/versions/version_store_joining.cpp
@@ -68,7 +68,7 @@
     this->ensure_deadlines(now);
     if (message.has_documents)
     {
-        this->joiners.note_holder(now, sender, message.domain);
+        this->joiners.record_holder(now, sender, message.domain);
         if (!this->documents.empty())
             this->send_listing(sender, listing_kind::answer, effects);
         return;
--- a/libraries/versions/version_store_reading.cpp
+++ b/libraries/versions/version_store_reading.cpp
@@ -32,7 +32,7 @@
     }
     bool const was_reading = this->access != platform_access::none;
     this->access = this->join.choose_access(now);
-    if (!was_reading && this->join.reads_on(now))
+    if (!was_reading && this->join.keeps_reading(now))
         this->election.begin();
 }
 
@@ -102,8 +102,8 @@
     this->ensure_deadlines(now);
     if (event.is_beyond_extent)
     {
-        this->watch.put_off();
-        this->join.found_long();
+        this->watch.end_first_page_read();
+        this->join.record_several_pages();
         return this->tick(now, effects);
     }
     this->watch.listed(now, event.index, this->random, effects);
@@ -112,7 +112,7 @@
     {
         if (!is_document_name(stamp.name) || !this->is_useful(stamp))
             continue;
-        this->fetches.note_platform(stamp.name, stamp.version);
+        this->fetches.record_platform(stamp.name, stamp.version);
     }
     this->start_fetches(now, effects);
 }
@@ -166,7 +166,7 @@
     this->ensure_deadlines(now);
     if (!this->is_from_own_domain(sender))
         return;
-    this->election.heard(now, sender);
+    this->election.receive_heartbeat(now, sender);
     // The reader received the newest changes one call ago. If one of them is
     // still missing here, the dissemination tree was broken: it contains VMs
     // that died recently, and no VM has noticed yet.
@@ -181,7 +181,7 @@
 {
     this->ensure_deadlines(now);
     if (this->is_from_own_domain(sender))
-        this->election.heard_attempt(now, sender);
+        this->election.receive_attempt(now, sender);
 }
 
 bool version_store::is_reader() const
--- a/libraries/versions/version_store_relay.cpp
+++ b/libraries/versions/version_store_relay.cpp
@@ -61,7 +61,7 @@
         this->store_text(now, name, message.version, message.text, effects);
     bool const is_missing = is_newer && !is_stored;
     if (is_missing)
-        this->fetches.note_peer(name, sender, message.version);
+        this->fetches.record_peer(name, sender, message.version);
     // VMs below this one in the tree fetch a text that is too long for a
     // datagram from here, so this VM has to hold it first.
     if (is_missing && message.text.empty())
--- a/measurements/measure_imbalance.cpp
+++ b/measurements/measure_imbalance.cpp
@@ -440,14 +440,14 @@
 {
     placement_policy result;
     result.balance_candidates = candidates;
-    result.balance_lean = lean;
+    result.balance_tolerance = lean;
     return result;
 }
 
 placement_policy make_continuity(double excess)
 {
     placement_policy result;
-    result.continuity_excess = excess;
+    result.continuity_load_ratio = excess;
     return result;
 }
 
--- a/tests/placement/fixture.hpp
+++ b/tests/placement/fixture.hpp
@@ -113,7 +113,7 @@
     {
         for (std::uint32_t done = 0; done < times; ++done)
         {
-            this->subject.opening_repeated(
+            this->subject.opening_retransmitted(
                 now, upstream_id(upstream), this->effects);
         }
     }
--- a/tests/placement/test_choose.cpp
+++ b/tests/placement/test_choose.cpp
@@ -22,16 +22,16 @@
 {
     struct row
     {
-        double lean;
+        double tolerance;
         std::uint32_t minimum;
         std::uint32_t maximum;
     };
     row const rows[] = {
-        {0.0, 95, 105}, {placement_policy{}.balance_lean, 92, 108}};
+        {0.0, 95, 105}, {placement_policy{}.balance_tolerance, 92, 108}};
     for (auto const& each : rows)
     {
         placement_policy policy;
-        policy.balance_lean = each.lean;
+        policy.balance_tolerance = each.tolerance;
         placement_fixture fixture(make_directory(make_upstreams(14)), policy);
         auto const counts = fixture.open(start, 1400);
         auto const [low, high] =
--- a/tests/reducer/tagged_view_test.cpp
+++ b/tests/reducer/tagged_view_test.cpp
@@ -58,11 +58,11 @@
     std::vector<upstream_candidate> known;
     for (std::uint64_t const number : {4, 1, 2, 3})
         known.push_back({make_upstream(number, "main").registered, 0, {}});
-    known[0].belief.verdict = upstream_verdict::avoided;
-    known[0].belief.cold_until = time_point();
+    known[0].view.verdict = upstream_verdict::avoided;
+    known[0].view.cold_until = time_point();
     known[1].flows = 7;
-    known[2].belief.verdict = upstream_verdict::draining;
-    known[3].belief.verdict = upstream_verdict::unreachable;
+    known[2].view.verdict = upstream_verdict::draining;
+    known[3].view.verdict = upstream_verdict::unreachable;
     auto const shown = make_shown_upstreams(known);
     cr_assert_eq(shown.size(), 4);
     cr_expect_eq(shown[0].state.flows, 7);
--- a/tests/tagging/late_vm.hpp
+++ b/tests/tagging/late_vm.hpp
@@ -2,7 +2,7 @@
 
 #include "router_fixture.hpp"
 
-#include <tagging/connection_trial.hpp>
+#include <tagging/connection_check.hpp>
 
 #include <algorithm>
 #include <emulator/agenda.hpp>
@@ -85,7 +85,7 @@
     struct running_check
     {
         upstream_tag suspect;
-        connection_trial trial;
+        connection_check trial;
         std::optional<time_point> suspect_answers_at;
         std::optional<time_point> reference_answers_at;
     };
@@ -309,7 +309,7 @@
     void begin_check(check_upstream const& wanted)
     {
         running_check started{
-            wanted.upstream, connection_trial(this->time.now()),
+            wanted.upstream, connection_check(this->time.now()),
             this->answer_time(wanted.suspect), std::nullopt};
         for (connection_target const& reference : wanted.witnesses)
         {
@@ -345,7 +345,7 @@
 
     void evaluate(running_check check)
     {
-        auto const outcome = check.trial.judge(
+        auto const outcome = check.trial.evaluate(
             this->time.now(), {this->state_of(check.suspect_answers_at),
                                this->state_of(check.reference_answers_at)});
         if (!outcome)
--- a/tests/tagging/router_fixture.hpp
+++ b/tests/tagging/router_fixture.hpp
@@ -42,10 +42,10 @@
 /// Runs a router with upstreams and four routes: two to the pool `main`, one of
 /// them idempotent, one to `other`, and one that splits its flows between
 /// `main` and `other`, 1 to 3.
-class bench
+class router_fixture
 {
 public:
-    explicit bench(
+    explicit router_fixture(
         std::vector<registered_upstream> upstreams = {},
         tagging_settings const& chosen = {})
         : settings(chosen)
@@ -143,7 +143,7 @@
     }
 
     /// Routes a request that acknowledges the answer to the one before it.
-    effect next_request_acknowledges(
+    effect request_with_acknowledgement(
         std::uint64_t flow,
         std::uint64_t tag,
         std::uint32_t sequence,
@@ -215,7 +215,7 @@
     }
 
     /// Routes an opening that was queued in the VM's socket for `waited`.
-    effect open_late(std::uint64_t flow, duration waited)
+    effect open_queued(std::uint64_t flow, duration waited)
     {
         this->next_waited = waited;
         auto result = this->pass(flow, packet_phase::opening, 0);
@@ -224,7 +224,7 @@
     }
 
     /// Routes the nth retransmission of an opening.
-    effect open_copy(std::uint64_t flow, std::uint32_t number)
+    effect open_retransmission(std::uint64_t flow, std::uint32_t number)
     {
         this->next_progress = {0, number, false};
         auto result = this->pass(flow, packet_phase::opening, 0);
@@ -234,7 +234,7 @@
 
     /// Routes a packet with the tag; returns the instance that got it, zero if
     /// it was dropped.
-    std::uint64_t go_on(std::uint64_t flow, std::uint64_t tag)
+    std::uint64_t route_tagged(std::uint64_t flow, std::uint64_t tag)
     {
         effect const result = this->pass(
             flow, packet_phase::ongoing, static_cast<std::uint32_t>(tag));
@@ -246,20 +246,20 @@
     std::uint64_t establish(std::uint64_t flow)
     {
         auto const instance = this->open(flow);
-        this->go_on(flow, instance);
+        this->route_tagged(flow, instance);
         return instance;
     }
 
     /// Has callers confirm openings that this VM placed, as they do soon after
     /// its start, and reset their flows, so that the VM retries openings.
     /// Precondition: the port's pool has a ready upstream.
-    void see_confirmations(std::uint16_t port = known_port)
+    void confirm_openings(std::uint16_t port = known_port)
     {
         constexpr std::uint64_t first_flow = 60'000;
         for (std::uint64_t flow = first_flow; flow < first_flow + 4; ++flow)
         {
             auto const instance = this->open(flow, port);
-            this->go_on(flow, instance);
+            this->route_tagged(flow, instance);
             this->pass(
                 flow, packet_phase::reset, static_cast<std::uint32_t>(instance),
                 port);
--- a/tests/tagging/test_evacuation.cpp
+++ b/tests/tagging/test_evacuation.cpp
@@ -32,7 +32,7 @@
 // Guards against openings that still go to an evacuated failure domain.
 Test(evacuation, openings_go_to_other_failure_domains)
 {
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     vm.evacuate({"perth"});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
         cr_expect(is_remote(vm.establish(flow)));
@@ -47,7 +47,7 @@
 // of balancing them over the remaining ones.
 Test(evacuation, openings_are_balanced_over_the_remaining_upstreams)
 {
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     vm.evacuate({"perth"});
     std::map<std::uint64_t, int> openings;
     for (std::uint64_t flow = 1; flow <= 40; ++flow)
@@ -60,30 +60,32 @@
 // is evacuated.
 Test(evacuation, established_flows_continue)
 {
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     auto const instance = vm.establish(1);
     cr_assert_not(is_remote(instance));
     vm.take<reset_known_flow>();
     vm.evacuate({"perth"});
     vm.wait(2s);
-    cr_expect_eq(bench::instance_of(vm.request(1, instance, 200)), instance);
+    cr_expect_eq(
+        router_fixture::instance_of(vm.request(1, instance, 200)), instance);
     cr_expect(vm.take<reset_known_flow>().empty());
     // Flows that another VM opened there aren't ended either.
-    cr_expect_eq(vm.go_on(77, 2), 2);
+    cr_expect_eq(vm.route_tagged(77, 2), 2);
 }
 
 // Guards against retransmitted and retried openings that still go to an
 // evacuated failure domain, to which first openings no longer go.
 Test(evacuation, retried_openings_move)
 {
-    bench vm(make_two_domains());
-    vm.see_confirmations();
+    router_fixture vm(make_two_domains());
+    vm.confirm_openings();
     cr_assert_not(is_remote(vm.open(1)));
     vm.evacuate({"perth"});
-    cr_expect(is_remote(bench::instance_of(vm.open_copy(1, 1))));
+    cr_expect(
+        is_remote(router_fixture::instance_of(vm.open_retransmission(1, 1))));
 
-    bench retrying(make_two_domains());
-    retrying.see_confirmations();
+    router_fixture retrying(make_two_domains());
+    retrying.confirm_openings();
     cr_assert_not(is_remote(retrying.open(2)));
     retrying.evacuate({"perth"});
     retrying.advance(retrying.settings.retry_after);
@@ -96,7 +98,7 @@
 // upstream that is missing or avoided is still evacuated.
 Test(evacuation, openings_are_refused_at_once_if_all_is_evacuated)
 {
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.evacuate({"perth"});
     cr_expect(is_refused(vm.pass(1, packet_phase::opening, 0)));
     auto const decided = vm.take<flow_decision>();
@@ -131,7 +133,7 @@
 {
     auto upstreams = make_two_domains();
     upstreams.push_back(make_upstream(5, "main", "lanark"));
-    bench vm(upstreams);
+    router_fixture vm(upstreams);
     vm.evacuate({"atlantis", "perth"});
     cr_expect_neq(vm.open(1), 0);
     vm.evacuate({"atlantis", "perth", "stirling"});
@@ -147,7 +149,7 @@
 // to upstreams that may have restarted meanwhile.
 Test(evacuation, upstreams_are_cold_after_an_evacuation)
 {
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     vm.list_routes({}, {{"main", 2s, 4.0}});
     vm.evacuate({"perth"});
     vm.evacuate({});
--- a/tests/tagging/test_explain.cpp
+++ b/tests/tagging/test_explain.cpp
@@ -7,7 +7,7 @@
 {
 
 /// The router's explanation of a flow that is opened now.
-tagged_explanation explain(bench const& vm, std::uint64_t flow = 999)
+tagged_explanation explain(router_fixture const& vm, std::uint64_t flow = 999)
 {
     return vm.router.explain(
         vm.now, flow_id(flow),
@@ -20,13 +20,13 @@
     return explanation.candidates.at(index).registered.instance.value();
 }
 
-upstream_belief
+upstream_view
 view_of(tagged_explanation const& explanation, std::uint64_t instance)
 {
     for (upstream_candidate const& each : explanation.candidates)
     {
         if (each.registered.instance.value() == instance)
-            return each.belief;
+            return each.view;
     }
     cr_assert_fail("the upstream is no candidate");
     return {};
@@ -40,12 +40,12 @@
 // Cause: the explanation orders upstreams differently from the placement.
 Test(explain, names_the_upstream_that_the_next_flow_gets)
 {
-    bench vm({make_upstream(1), make_upstream(2), make_upstream(3)});
+    router_fixture vm({make_upstream(1), make_upstream(2), make_upstream(3)});
     // The choice is random among upstreams of equal load, and only among these.
     for (std::uint64_t flow = 1; flow <= 30; ++flow)
     {
         auto const explanation = explain(vm);
-        auto const best = explanation.candidates.at(0).belief;
+        auto const best = explanation.candidates.at(0).view;
         auto const opened = vm.establish(flow);
         auto const chosen = view_of(explanation, opened);
         cr_expect(chosen.verdict == best.verdict);
@@ -55,8 +55,8 @@
 
 Test(explain, reports_the_evidence_for_each_verdict)
 {
-    bench vm({make_upstream(4, "other")});
-    vm.see_confirmations(other_port);
+    router_fixture vm({make_upstream(4, "other")});
+    vm.confirm_openings(other_port);
     vm.list({make_upstream(1), make_upstream(2), make_upstream(3)});
     vm.settings.upstream_retention = 1h;
     auto draining = make_upstream(2);
@@ -86,7 +86,7 @@
 
 Test(explain, has_no_candidates_without_a_route)
 {
-    bench const vm({make_upstream(1)});
+    router_fixture const vm({make_upstream(1)});
     auto const explanation = vm.router.explain(
         vm.now, flow_id(1),
         {ipv4_address(0xc6120001), unknown_port, transport_protocol::tcp});
--- a/tests/tagging/test_overload.cpp
+++ b/tests/tagging/test_overload.cpp
@@ -13,9 +13,9 @@
 constexpr duration target = 150ms;
 
 /// A VM whose callers get each of their answers after `delay`.
-bench make_vm_with_delay(duration delay)
+router_fixture make_vm_with_delay(duration delay)
 {
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.list_routes(target);
     std::array<std::uint64_t, established_flows> upstream_of{};
     for (std::uint64_t flow = 0; flow < established_flows; ++flow)
@@ -45,7 +45,7 @@
 // Cause: openings that cannot be served in time are queued behind the others.
 Test(overload, openings_beyond_the_target_latency_are_refused_with_a_reason)
 {
-    bench vm = make_vm_with_delay(300ms);
+    router_fixture vm = make_vm_with_delay(300ms);
     int refused = 0;
     for (std::uint64_t flow = 5'000; flow < 5'100; ++flow)
     {
@@ -70,11 +70,11 @@
 // Cause: a VM refuses an opening that some VM may have placed.
 Test(overload, only_openings_that_no_vm_has_placed_are_refused)
 {
-    bench vm = make_vm_with_delay(300ms);
+    router_fixture vm = make_vm_with_delay(300ms);
     for (std::uint64_t flow = 5'000; flow < 5'100; ++flow)
     {
-        cr_expect_not(is_refusal(vm.open_copy(flow, 1)));
-        cr_expect_not(is_refusal(vm.open_late(flow + 1'000, 200ms)));
+        cr_expect_not(is_refusal(vm.open_retransmission(flow, 1)));
+        cr_expect_not(is_refusal(vm.open_queued(flow + 1'000, 200ms)));
         bool const was_placed =
             !is_refusal(vm.pass(flow + 2'000, packet_phase::opening, 0));
         if (was_placed)
@@ -85,14 +85,14 @@
 
 Test(overload, established_flows_are_never_refused)
 {
-    bench vm = make_vm_with_delay(300ms);
+    router_fixture vm = make_vm_with_delay(300ms);
     for (std::uint64_t flow = 7'000; flow < 7'100; ++flow)
-        cr_expect_neq(vm.go_on(flow, 1), 0);
+        cr_expect_neq(vm.route_tagged(flow, 1), 0);
 }
 
 Test(overload, no_opening_is_refused_while_answers_are_in_time)
 {
-    bench vm = make_vm_with_delay(50ms);
+    router_fixture vm = make_vm_with_delay(50ms);
     for (std::uint64_t flow = 5'000; flow < 5'200; ++flow)
         cr_expect_neq(vm.open(flow), 0);
 }
@@ -103,7 +103,7 @@
 // the upstream that answered.
 Test(overload, delays_of_one_pool_refuse_no_opening_of_another)
 {
-    bench vm({make_upstream(1), make_upstream(2, "other")});
+    router_fixture vm({make_upstream(1), make_upstream(2, "other")});
     vm.list_routes(target);
     for (std::uint32_t round = 1; round <= 40; ++round)
     {
--- a/tests/tagging/test_queue_delay_control.cpp
+++ b/tests/tagging/test_queue_delay_control.cpp
@@ -59,7 +59,7 @@
     {
         double largest = 0;
         for (queue_delay_control& each : this->controls)
-            largest = std::max(largest, each.share(this->now));
+            largest = std::max(largest, each.refusal_share(this->now));
         return largest;
     }
 
@@ -78,7 +78,8 @@
         {
             std::size_t const vm = this->random() % this->controls.size();
             double const share =
-                this->has_control ? this->controls[vm].share(this->now) : 0.0;
+                this->has_control ? this->controls[vm].refusal_share(this->now)
+                                  : 0.0;
             bool const is_admitted = draws(this->random) >= share &&
                                      this->waiting.size() < queue_places;
             if (!is_admitted)
@@ -111,7 +112,7 @@
             this->working.pop();
             duration const waited = done.done_at - done.sent_at;
             ++(waited <= target ? counted.in_time : counted.late);
-            this->controls[done.vm].note_answer(done.done_at, waited, target);
+            this->controls[done.vm].record_answer(done.done_at, waited, target);
             this->begin_work(done.done_at);
         }
     }
@@ -204,7 +205,7 @@
         {
             opened.vm = this->random() % this->controls.size();
             if (draws(this->random) >=
-                this->controls[opened.vm].share(this->now))
+                this->controls[opened.vm].refusal_share(this->now))
                 return true;
         }
         return false;
@@ -249,7 +250,7 @@
             if (!is_shed && this->free_time < work)
                 return;
             this->waiting.pop_front();
-            this->controls[next.vm].note_answer(
+            this->controls[next.vm].record_answer(
                 this->now, waited + (is_shed ? duration() : work), target);
             if (is_shed)
             {
@@ -365,16 +366,16 @@
     for (int step = 0; step < 100; ++step)
     {
         time_point const now = start + step * 10ms;
-        control.note_answer(now, 400ms, duration::zero());
-        cr_expect_eq(control.share(now), 0.0, "no target");
+        control.record_answer(now, 400ms, duration::zero());
+        cr_expect_eq(control.refusal_share(now), 0.0, "no target");
     }
     for (int step = 0; step < 100; ++step)
     {
         time_point const now = start + 1s + step * 10ms;
-        control.note_answer(now, 400ms, target);
-        (void)control.share(now);
+        control.record_answer(now, 400ms, target);
+        (void)control.refusal_share(now);
     }
-    cr_expect_gt(control.share(start + 2s), 0.5);
+    cr_expect_gt(control.refusal_share(start + 2s), 0.5);
     cr_expect_eq(
-        control.share(start + 3s), 0.0, "the last answer was long ago");
+        control.refusal_share(start + 3s), 0.0, "the last answer was long ago");
 }
--- a/tests/tagging/test_restarted_upstream.cpp
+++ b/tests/tagging/test_restarted_upstream.cpp
@@ -18,7 +18,7 @@
     return upstream;
 }
 
-tagged_upstream const& find(bench const& vm, std::uint64_t number)
+tagged_upstream const& find(router_fixture const& vm, std::uint64_t number)
 {
     auto const all = vm.router.upstreams();
     auto const found = std::ranges::find(
@@ -35,21 +35,21 @@
 // the earlier incarnation is applied to the new one.
 Test(restarted_upstream, state_of_the_earlier_incarnation_is_dropped)
 {
-    bench vm({make_incarnation(1, earlier_incarnation)});
-    vm.see_confirmations();
+    router_fixture vm({make_incarnation(1, earlier_incarnation)});
+    vm.confirm_openings();
     for (std::uint64_t flow = 1; flow <= 4; ++flow)
         vm.open(flow);
     vm.advance(500ms);
     cr_assert_gt(find(vm, 1).failures, 0);
     cr_assert(vm.now < find(vm, 1).avoided_until);
-    cr_assert(find(vm, 1).reach.is_doubted());
+    cr_assert(find(vm, 1).reach.is_silent());
 
     auto again = make_incarnation(1, later_incarnation);
     again.cold_milliseconds = 2000;
     vm.list({again});
     cr_expect_eq(find(vm, 1).failures, 0);
     cr_expect(vm.now >= find(vm, 1).avoided_until);
-    cr_expect_not(find(vm, 1).reach.is_doubted());
+    cr_expect_not(find(vm, 1).reach.is_silent());
     cr_expect(
         find(vm, 1).cold_until == vm.now + 2s, "it is not in slow start again");
     cr_expect(find(vm, 1).registered.life == later_incarnation);
@@ -61,7 +61,7 @@
 // expire.
 Test(restarted_upstream, flows_of_the_earlier_incarnation_are_not_counted)
 {
-    bench vm({make_incarnation(1, earlier_incarnation)});
+    router_fixture vm({make_incarnation(1, earlier_incarnation)});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
         vm.establish(flow);
     cr_assert_eq(find(vm, 1).flows, 20);
@@ -77,7 +77,7 @@
 // resets flows that it does not hold.
 Test(restarted_upstream, open_flows_are_forwarded_to_the_new_incarnation)
 {
-    bench vm(
+    router_fixture vm(
         {make_incarnation(1, earlier_incarnation),
          make_incarnation(2, earlier_incarnation)});
     std::uint64_t const chosen = vm.establish(7);
@@ -86,7 +86,7 @@
         make_incarnation(2, later_incarnation)};
     vm.list(now);
     cr_expect(vm.take<reset_known_flow>().empty());
-    cr_expect_eq(vm.go_on(7, chosen), chosen);
+    cr_expect_eq(vm.route_tagged(7, chosen), chosen);
 }
 
 // Symptom: flows of an upstream that has just restarted are reset.
@@ -95,7 +95,7 @@
 // concerns the earlier one.
 Test(restarted_upstream, a_check_of_the_earlier_incarnation_is_ignored)
 {
-    bench vm(
+    router_fixture vm(
         {make_incarnation(1, earlier_incarnation),
          make_incarnation(2, earlier_incarnation)});
     std::uint64_t const chosen = vm.establish(7);
@@ -110,7 +110,7 @@
     vm.list(
         {make_incarnation(1, later_incarnation),
          make_incarnation(2, later_incarnation)});
-    vm.go_on(7, chosen);
+    vm.route_tagged(7, chosen);
     vm.end_check(chosen, connection_outcome::unanswered, earlier_incarnation);
     cr_expect(vm.take<reset_known_flow>().empty());
     cr_expect_not(find(vm, chosen).reach.is_unreachable(vm.now));
@@ -124,7 +124,8 @@
 {
     for (incarnation const life : {earlier_incarnation, incarnation()})
     {
-        bench vm({make_incarnation(1, life), make_incarnation(2, life)});
+        router_fixture vm(
+            {make_incarnation(1, life), make_incarnation(2, life)});
         std::uint64_t const chosen = vm.establish(7);
         auto changed = make_incarnation(chosen, life);
         changed.slots = 9;
@@ -142,7 +143,7 @@
 // has an incarnation and the other has none shows that the process is another.
 Test(restarted_upstream, an_entry_that_gains_an_incarnation_is_a_restart)
 {
-    bench vm({make_incarnation(1, incarnation())});
+    router_fixture vm({make_incarnation(1, incarnation())});
     vm.establish(7);
     vm.list({make_incarnation(1, earlier_incarnation)});
     cr_expect_eq(find(vm, 1).flows, 0);
--- a/tests/tagging/test_cold_admission.cpp
+++ b/tests/tagging/test_slow_start_limiter.cpp
@@ -1,6 +1,6 @@
 #include "router_fixture.hpp"
 
-#include <tagging/cold_admission.hpp>
+#include <tagging/slow_start_limiter.hpp>
 
 #include <algorithm>
 #include <random>
@@ -23,7 +23,7 @@
 struct opener
 {
     bool is_appointed = false;
-    cold_admission admission;
+    slow_start_limiter admission;
 
     void set_members(vm_id self, std::span<vm_id const> vms)
     {
@@ -35,9 +35,9 @@
     bool try_open(time_point now, cold_limit limit)
     {
         bool const is_admitted =
-            this->is_appointed && this->admission.may_open(now, limit.from_one);
+            this->is_appointed && this->admission.may_open(now, limit.per_vm);
         if (is_admitted)
-            this->admission.note_opened(now);
+            this->admission.record_opening(now);
         return is_admitted;
     }
 };
@@ -95,9 +95,9 @@
             for (std::uint32_t vm = 0; vm < count; ++vm)
                 openers[vm].set_members(vms[vm], vms);
             auto const opened = send_openings(openers, limit, 7);
-            cr_expect_leq(maximum_per_second(opened), limit.in_all);
+            cr_expect_leq(maximum_per_second(opened), limit.total);
             cr_expect_geq(
-                opened.size(), 4 * limit.from_one, "the limit is not used up");
+                opened.size(), 4 * limit.per_vm, "the limit is not used up");
         }
     }
 }
@@ -116,7 +116,7 @@
         for (std::size_t vm = 0; vm < vms.size(); ++vm)
             openers[vm].set_members(vms[vm], vm < 100 ? lower : upper);
         cr_expect_leq(
-            maximum_per_second(send_openings(openers, limit, 8)), limit.in_all);
+            maximum_per_second(send_openings(openers, limit, 8)), limit.total);
     }
 }
 
@@ -133,12 +133,12 @@
 // would pass around the boundary of two windows.
 Test(slow_start_limiter, every_span_of_a_second_counts)
 {
-    cold_admission admission;
+    slow_start_limiter admission;
     time_point const start{1h};
     for (int opening = 0; opening < 3; ++opening)
     {
         cr_expect(admission.may_open(start + 900ms, 3));
-        admission.note_opened(start + 900ms);
+        admission.record_opening(start + 900ms);
     }
     cr_expect_not(admission.may_open(start + 1s, 3));
     cr_expect_not(admission.may_open(start + 1899ms, 3));
@@ -154,7 +154,7 @@
     cold.cold_milliseconds = 2000;
     auto cold_remote = make_upstream(2, "main", "stirling");
     cold_remote.cold_milliseconds = 2000;
-    bench vm;
+    router_fixture vm;
     vm.settings.cold_overrun = 1.5;
     vm.settings.cold_slack = 1;
     vm.list_routes({}, {{"main", 2s, 2.0}});
--- a/tests/tagging/test_tagging.cpp
+++ b/tests/tagging/test_tagging.cpp
@@ -30,7 +30,7 @@
     // opened one after the other. Cause: flows or slots are not counted.
     auto large = make_upstream(3);
     large.slots = 8;
-    bench vm({make_upstream(1), make_upstream(2), large});
+    router_fixture vm({make_upstream(1), make_upstream(2), large});
     std::map<std::uint64_t, int> flows;
     for (std::uint64_t flow = 1; flow <= 40; ++flow)
         ++flows[vm.establish(flow)];
@@ -44,7 +44,7 @@
     // Symptom: an upstream gets no flows although it is idle. Sequence: callers
     // reset their flows to it. Cause: these flows are counted until they
     // expire.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     std::vector<std::uint64_t> flows_at_first;
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
     {
@@ -64,7 +64,7 @@
     // is the only upstream left. Cause: it is still used as the last resort.
     auto draining = make_upstream(1);
     draining.is_draining = true;
-    bench vm({draining, make_upstream(2)});
+    router_fixture vm({draining, make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
         cr_expect_eq(vm.establish(flow), 2);
     vm.list({draining});
@@ -78,7 +78,7 @@
     // flows go to an upstream that was stopped. Sequence: the store was down;
     // entries expire and come back later. Cause: an upstream whose entry is
     // missing is considered stopped at once, or never.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.list({make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
         cr_expect_eq(vm.establish(flow), 2);
@@ -114,7 +114,8 @@
     };
     for (auto const& [after, is_moved] : table)
     {
-        bench vm({make_upstream(1), make_upstream(2), make_upstream(3)});
+        router_fixture vm(
+            {make_upstream(1), make_upstream(2), make_upstream(3)});
         auto const first = vm.open(7);
         vm.now += after;
         auto const second = vm.open(7);
@@ -129,7 +130,7 @@
     // Sequence: every upstream of the pool has recently left an opening
     // unanswered. Cause: only avoidance keeps retransmissions away from the
     // silent upstream, and it has no effect when all upstreams are avoided.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 10; ++flow)
     {
         std::uint64_t previous = vm.open(flow);
@@ -150,7 +151,7 @@
     // queued in its socket and handled at the same time. Cause: the number of
     // retransmissions, or the callers' waiting time, is attributed to the
     // upstream.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.wait(1s);
     for (std::uint64_t flow = 1; flow <= 20; ++flow)
     {
@@ -184,12 +185,12 @@
     };
     for (auto const& [name, pause, waited, should_be_dropped] : table)
     {
-        bench vm({make_upstream(1), make_upstream(2)});
+        router_fixture vm({make_upstream(1), make_upstream(2)});
         // The registry was complete before any opening here was queued.
         for (int ticks = 0; ticks < 10; ++ticks)
             vm.wait(100ms);
         vm.now += pause;
-        auto const result = vm.open_late(7, waited);
+        auto const result = vm.open_queued(7, waited);
         cr_expect_eq(
             is_dropped(result, drop_reason::view_expired), should_be_dropped,
             "%s", name);
@@ -215,8 +216,8 @@
     for (auto const& [waited, should_be_dropped] : table)
     {
         // The registry has just come into force.
-        bench vm({make_upstream(1), make_upstream(2)});
-        auto const result = vm.open_late(7, waited);
+        router_fixture vm({make_upstream(1), make_upstream(2)});
+        auto const result = vm.open_queued(7, waited);
         cr_expect_eq(
             is_dropped(result, drop_reason::view_expired), should_be_dropped);
     }
@@ -228,7 +229,7 @@
     // Sequence: an opening is placed right before a pause, and its confirmation
     // reaches another VM during the pause. Cause: the missing confirmation is
     // attributed to the upstream.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.wait(100ms);
     vm.open(7);
     vm.now += 2s;
@@ -243,7 +244,7 @@
     // Symptom: a pool of one upstream refuses openings after one lost packet.
     // Sequence: the upstream's answer is lost; a retransmission follows. Cause:
     // the silent upstream is excluded although it is the only one.
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     cr_expect_eq(vm.open(7), 1);
     vm.now += 200ms;
     cr_expect_eq(vm.open(7), 1);
@@ -274,7 +275,7 @@
     };
     for (auto const& [name, listed, after, expected] : table)
     {
-        bench vm({make_upstream(1), make_upstream(2)});
+        router_fixture vm({make_upstream(1), make_upstream(2)});
         vm.list(listed);
         vm.wait(after);
         // Packets in all phases of one flow that another VM placed.
@@ -282,7 +283,8 @@
              {packet_phase::ongoing, packet_phase::closing,
               packet_phase::reset})
         {
-            auto const instance = bench::instance_of(vm.pass(7, phase, 1));
+            auto const instance =
+                router_fixture::instance_of(vm.pass(7, phase, 1));
             cr_expect_eq(instance, expected, "%s", name);
         }
     }
@@ -293,7 +295,7 @@
     // Symptom: a caller gets a reset that its upstream did not send. Sequence:
     // a VM that has just started does not know the upstream yet. Cause: the VM
     // treats a flow with an unknown tag as closed.
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     for (auto const phase :
          {packet_phase::ongoing, packet_phase::closing, packet_phase::reset})
     {
@@ -309,7 +311,7 @@
     // an upstream stops, its address is assigned to a new one, and a packet of
     // the old flow arrives. Cause: the flow's upstream is identified by its
     // address alone.
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     vm.establish(7);
     auto other = make_upstream(9, "other");
     other.address = make_upstream(1).address;
@@ -320,7 +322,7 @@
 
     // A VM that receives both entries at once cannot tell which upstream is
     // alive. The packet that it forwards names the flow's upstream.
-    bench fresh({make_upstream(1), other});
+    router_fixture fresh({make_upstream(1), other});
     effect const passed = fresh.pass(7, packet_phase::ongoing, 1);
     auto const* const sent = std::get_if<send_tagged>(&passed);
     cr_assert_not_null(sent);
@@ -333,8 +335,9 @@
     // Symptom: a split of 1 to 3 has another ratio, or retransmissions of one
     // opening reach two services. Sequence: many flows are opened at two VMs.
     // Cause: the pool is drawn again for each packet or by each VM.
-    bench first({make_upstream(1, "main"), make_upstream(2, "other")});
-    bench second({make_upstream(1, "main"), make_upstream(2, "other")});
+    router_fixture first({make_upstream(1, "main"), make_upstream(2, "other")});
+    router_fixture second(
+        {make_upstream(1, "main"), make_upstream(2, "other")});
     constexpr int flows = 4000;
     int at_main = 0;
     for (int number = 0; number < flows; ++number)
@@ -352,9 +355,9 @@
 
 Test(tagging, openings_without_route_or_upstream_are_not_placed)
 {
-    bench const unlisted;
+    router_fixture const unlisted;
     cr_expect(unlisted.router.is_informed());
-    bench vm({make_upstream(1, "elsewhere")});
+    router_fixture vm({make_upstream(1, "elsewhere")});
     cr_expect(is_refused(vm.pass(1, packet_phase::opening, 0)));
     cr_expect(is_refused(vm.pass(2, packet_phase::opening, 0, split_port)));
     cr_expect(is_dropped(
@@ -371,7 +374,7 @@
     // table has no bound, or flows beyond the bound are not routed.
     tagging_settings few;
     few.maximum_flows = 10;
-    bench vm({make_upstream(1)}, few);
+    router_fixture vm({make_upstream(1)}, few);
     for (std::uint64_t flow = 1; flow <= 50; ++flow)
         cr_expect_eq(vm.establish(flow), 1);
     cr_expect_eq(vm.router.flow_count(), 10);
@@ -386,7 +389,7 @@
     // is placed, the declarations change, the caller's retransmission arrives.
     // Cause: a retransmission is sent to the opening's upstream without a new
     // check of route and upstream.
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     vm.open(7);
     auto draining = make_upstream(1);
     draining.is_draining = true;
@@ -404,13 +407,13 @@
     // Symptom: a request is processed twice. Sequence: its opening carries the
     // data, no upstream answers in time, and the retransmission goes to another
     // upstream. Cause: the opening is handled like one without data.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     cr_expect(is_dropped(
         vm.pass(7, packet_phase::opening_with_data, 0),
         drop_reason::refused_silently));
     auto const opened = [&vm]
     {
-        return bench::instance_of(
+        return router_fixture::instance_of(
             vm.pass(8, packet_phase::opening_with_data, 0, idempotent_port));
     };
     auto const first = opened();
@@ -427,8 +430,8 @@
     // answer, and the caller copies the tag of the latest packet into its own
     // packets. Cause: the VM follows the tag although the packet's numbers
     // continue the established flow.
-    bench vm({make_upstream(1), make_upstream(2), make_upstream(3)});
-    vm.see_confirmations();
+    router_fixture vm({make_upstream(1), make_upstream(2), make_upstream(3)});
+    vm.confirm_openings();
     std::vector<std::uint64_t> tried{vm.open(7)};
     vm.advance(110ms);
     for (auto const& retried : vm.take<repeat_opening>())
@@ -436,13 +439,13 @@
     cr_assert_eq(tried.size(), 3);
     auto const upstream = tried.back();
     constexpr std::uint32_t acknowledged = 0xffffff00;
-    vm.next_request_acknowledges(7, upstream, 1, acknowledged);
+    vm.request_with_acknowledgement(7, upstream, 1, acknowledged);
     for (auto const late : tried)
     {
         // The acknowledgement numbers wrap around here.
         auto const request =
-            vm.next_request_acknowledges(7, late, 101, acknowledged + 1000);
-        cr_expect_eq(bench::instance_of(request), upstream);
+            vm.request_with_acknowledgement(7, late, 101, acknowledged + 1000);
+        cr_expect_eq(router_fixture::instance_of(request), upstream);
     }
 }
 
@@ -454,10 +457,10 @@
     // confirmation and retries the opening at a second upstream, whose answer
     // changes the tag. Cause: only the VM that placed the opening detects such
     // a change of the tag.
-    bench vm({make_upstream(1), make_upstream(2)});
-    vm.next_request_acknowledges(7, 1, 1, 5000);
-    auto const request = vm.next_request_acknowledges(7, 2, 101, 7000);
-    cr_expect_eq(bench::instance_of(request), 1);
+    router_fixture vm({make_upstream(1), make_upstream(2)});
+    vm.request_with_acknowledgement(7, 1, 1, 5000);
+    auto const request = vm.request_with_acknowledgement(7, 2, 101, 7000);
+    cr_expect_eq(router_fixture::instance_of(request), 1);
 }
 
 Test(tagging, reused_ports_lead_to_the_new_flows_upstream)
@@ -465,10 +468,10 @@
     // Symptom: a new flow's packets reach the upstream of an old one. Sequence:
     // a caller reuses its port, and the opening passes another VM. Cause: the
     // old flow's upstream is kept although the numbers belong to another flow.
-    bench vm({make_upstream(1), make_upstream(2)});
-    vm.next_request_acknowledges(7, 1, 1, 5000);
-    auto const request = vm.next_request_acknowledges(7, 2, 1, 0x80000000);
-    cr_expect_eq(bench::instance_of(request), 2);
+    router_fixture vm({make_upstream(1), make_upstream(2)});
+    vm.request_with_acknowledgement(7, 1, 1, 5000);
+    auto const request = vm.request_with_acknowledgement(7, 2, 1, 0x80000000);
+    cr_expect_eq(router_fixture::instance_of(request), 2);
 }
 
 Test(tagging, the_first_of_two_upstreams_with_one_tag_keeps_it)
@@ -477,10 +480,10 @@
     // instances have the same low half of their numbers, and thus the same tag.
     // Cause: the later one takes over the tag.
     auto const twin = (std::uint64_t{5} << 32) + 1;
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     cr_expect_eq(vm.establish(7), 1);
     vm.list({make_upstream(1), make_upstream(twin)});
-    cr_expect_eq(vm.go_on(7, 1), 1);
+    cr_expect_eq(vm.route_tagged(7, 1), 1);
     cr_expect_eq(vm.open(8), 1);
     vm.list({make_upstream(twin)});
     cr_expect_eq(vm.open(9), twin);
@@ -488,16 +491,16 @@
 
 Test(tagging, a_confirmed_opening_is_observed_once)
 {
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     vm.open(7, idempotent_port);
     vm.advance(5ms);
-    vm.go_on(7, 1);
-    vm.go_on(7, 1);
+    vm.route_tagged(7, 1);
+    vm.route_tagged(7, 1);
     auto const observed = vm.take<observe_handshake>();
     cr_assert_eq(observed.size(), 1);
     cr_expect(observed.front().latency == 5ms);
     cr_expect(observed.front().traffic == flow_class::feed);
     // Another VM placed this opening, so its latency is unknown here.
-    vm.go_on(8, 1);
+    vm.route_tagged(8, 1);
     cr_expect(vm.take<observe_handshake>().empty());
 }
--- a/tests/tagging/test_taken_over_address.cpp
+++ b/tests/tagging/test_taken_over_address.cpp
@@ -38,7 +38,7 @@
 {
     for (bool const is_still_listed : {false, true})
     {
-        bench vm({make_upstream(1)});
+        router_fixture vm({make_upstream(1)});
         vm.open(7);
         vm.request(7, 1);
         std::vector<registered_upstream> listed{at_first_address(2)};
@@ -55,7 +55,7 @@
 
 Test(taken_over_address, a_packet_of_a_flow_of_another_vm_is_answered)
 {
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     vm.list({make_upstream(1), at_first_address(2)});
     cr_expect(ends_flow(vm.request(7, 1)));
     auto const resets = vm.take<reset_known_flow>();
@@ -70,7 +70,7 @@
 
 Test(taken_over_address, the_earlier_upstream_gets_no_openings)
 {
-    bench vm({make_upstream(1), make_upstream(3)});
+    router_fixture vm({make_upstream(1), make_upstream(3)});
     vm.list({make_upstream(1), at_first_address(2), make_upstream(3)});
     for (std::uint64_t flow = 10; flow < 40; ++flow)
         cr_expect_eq(vm.establish(flow), 3);
@@ -81,24 +81,24 @@
 Test(taken_over_address, no_flow_ends_if_the_order_is_unknown)
 {
     // The first listing contains both.
-    bench fresh({make_upstream(1), at_first_address(2)});
-    cr_expect_eq(bench::instance_of(fresh.request(7, 1)), 1);
-    cr_expect_eq(bench::instance_of(fresh.request(8, 2)), 2);
+    router_fixture fresh({make_upstream(1), at_first_address(2)});
+    cr_expect_eq(router_fixture::instance_of(fresh.request(7, 1)), 1);
+    cr_expect_eq(router_fixture::instance_of(fresh.request(8, 2)), 2);
 
     // The later entry has the earlier incarnation.
     auto first = make_upstream(1);
     first.life = later_incarnation;
     auto stray = at_first_address(2);
     stray.life = earlier_incarnation;
-    bench vm({first});
+    router_fixture vm({first});
     vm.list({first, stray});
-    cr_expect_eq(bench::instance_of(vm.request(7, 1)), 1);
+    cr_expect_eq(router_fixture::instance_of(vm.request(7, 1)), 1);
 
     // An entry vanishes and returns, as after an outage of the metadata store.
-    bench back({make_upstream(1)});
+    router_fixture back({make_upstream(1)});
     back.list({});
     back.list({make_upstream(1)});
-    cr_expect_eq(bench::instance_of(back.request(7, 1)), 1);
+    cr_expect_eq(router_fixture::instance_of(back.request(7, 1)), 1);
 }
 
 // Symptom: a flow of a live upstream is reset. Sequence: a wrong entry with the
@@ -106,8 +106,8 @@
 // counts as having taken over the address.
 Test(taken_over_address, a_removed_entry_takes_no_address_over)
 {
-    bench vm({make_upstream(1)});
+    router_fixture vm({make_upstream(1)});
     vm.list({make_upstream(1), at_first_address(2)});
     vm.list({make_upstream(1)});
-    cr_expect_eq(bench::instance_of(vm.request(7, 1)), 1);
+    cr_expect_eq(router_fixture::instance_of(vm.request(7, 1)), 1);
 }
--- a/tests/tagging/test_unreachable.cpp
+++ b/tests/tagging/test_unreachable.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Opens a flow at each upstream; all of them answered just now.
-void establish_flows(bench& vm)
+void establish_flows(router_fixture& vm)
 {
     for (std::uint64_t const instance : {near, far, far_too})
     {
@@ -33,9 +33,9 @@
 }
 
 /// Lets callers of the far upstreams retransmit while the near one answers.
-void silence_far_upstreams(bench& vm)
+void silence_far_upstreams(router_fixture& vm)
 {
-    vm.router.note_heard(vm.now, cut_domain);
+    vm.router.record_domain_message(vm.now, cut_domain);
     establish_flows(vm);
     vm.request(far, far, 200);
     vm.request(far_too, far_too, 200);
@@ -48,7 +48,8 @@
 
 /// Ends a check of the upstream without an answer and counts the flows that
 /// this ends.
-std::size_t count_flows_ended_by_check(bench& vm, std::uint64_t instance)
+std::size_t
+count_flows_ended_by_check(router_fixture& vm, std::uint64_t instance)
 {
     vm.end_check(instance, connection_outcome::unanswered);
     return vm.take<reset_known_flow>().size();
@@ -61,8 +62,8 @@
     // Symptom: each opening at a dead upstream costs its caller 200 ms.
     // Sequence: a caller opens a flow, and the upstream does not answer. Cause:
     // only the caller's retransmission moved the opening to another upstream.
-    bench vm({make_upstream(1), make_upstream(2)});
-    vm.see_confirmations();
+    router_fixture vm({make_upstream(1), make_upstream(2)});
+    vm.confirm_openings();
     auto const first = vm.open(7);
     vm.advance(vm.settings.retry_after);
     auto const repeated = vm.take<repeat_opening>();
@@ -71,9 +72,10 @@
     cr_expect_eq(repeated.front().bytes.size(), 3);
     // The caller may confirm either answer, whichever arrived first; the flow
     // works in both cases.
-    cr_expect_eq(vm.go_on(7, first), first);
+    cr_expect_eq(vm.route_tagged(7, first), first);
     auto const other = repeated.front().target.instance.value();
-    cr_expect_eq(vm.go_on(7, other), first, "a late answer moved the flow");
+    cr_expect_eq(
+        vm.route_tagged(7, other), first, "a late answer moved the flow");
     // The late upstream is no longer avoided, as it answered.
     cr_expect_neq(vm.open(8), 0);
 }
@@ -87,11 +89,11 @@
     // the flow's next packet arrives at the first VM, which knows only the
     // opening. Cause: the VM assumed that it receives confirmations before it
     // had received one.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.open(7);
     vm.advance(1s);
     cr_expect(vm.take<repeat_opening>().empty());
-    vm.see_confirmations();
+    vm.confirm_openings();
     vm.open(8);
     vm.advance(1s);
     cr_expect_not(vm.take<repeat_opening>().empty());
@@ -99,7 +101,7 @@
 
 Test(unreachable, a_confirmed_opening_is_not_retried)
 {
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.establish(7);
     vm.advance(1s);
     cr_expect(vm.take<repeat_opening>().empty());
@@ -112,11 +114,11 @@
     // other VMs; this VM retries them at second upstreams, whose answers change
     // the flows' tags. Cause: a confirmation that another VM received was taken
     // for a silent upstream.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     constexpr std::uint64_t first_unknown_flow = 1'000;
     for (std::uint64_t flow = 1; flow <= 100; ++flow)
     {
-        vm.go_on(first_unknown_flow + flow, 1);
+        vm.route_tagged(first_unknown_flow + flow, 1);
         vm.open(flow);
         vm.advance(20ms);
     }
@@ -132,8 +134,8 @@
 
 Test(unreachable, an_opening_is_retried_a_few_times_only)
 {
-    bench vm({make_upstream(1), make_upstream(2), make_upstream(3)});
-    vm.see_confirmations();
+    router_fixture vm({make_upstream(1), make_upstream(2), make_upstream(3)});
+    vm.confirm_openings();
     vm.open(7);
     vm.advance(1s);
     cr_expect_eq(vm.take<repeat_opening>().size(), vm.settings.maximum_retries);
@@ -144,11 +146,11 @@
     // Symptom: a dead upstream gets more and more flows. Sequence: openings
     // there fail, so it has the fewest flows and is chosen again. Cause: a
     // retried opening did not count against the upstream.
-    bench vm({make_upstream(1), make_upstream(2)});
-    vm.see_confirmations();
+    router_fixture vm({make_upstream(1), make_upstream(2)});
+    vm.confirm_openings();
     auto const dead = vm.open(7);
     vm.advance(vm.settings.retry_after);
-    vm.go_on(7, 3 - dead);
+    vm.route_tagged(7, 3 - dead);
     for (std::uint64_t flow = 10; flow < 20; ++flow)
         cr_expect_eq(vm.establish(flow), 3 - dead);
 }
@@ -158,7 +160,7 @@
     // Symptom: a partitioned zone loses most flows of its own callers.
     // Sequence: the flows were placed evenly over all zones. Cause: placement
     // did not take failure domains into account.
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     int nearby = 0;
     for (std::uint64_t flow = 10; flow < 30; ++flow)
         nearby += vm.establish(flow) == near ? 1 : 0;
@@ -171,9 +173,9 @@
     // Symptom: callers wait for their timeouts, again and again. Sequence: a
     // zone is partitioned; its upstreams fall silent, and its VMs answer no
     // ping. Cause: each upstream had to be detected separately.
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     silence_far_upstreams(vm);
-    cr_assert_eq(vm.router.take_questions().size(), 1);
+    cr_assert_eq(vm.router.take_domains_to_probe().size(), 1);
     vm.advance(vm.settings.ask_timeout);
     auto const reports = vm.take<report>();
     cr_assert_eq(reports.size(), 1);
@@ -190,10 +192,10 @@
     // Symptom: live flows are reset. Sequence: two upstreams of a domain are
     // slow at the same time. Cause: silence alone was taken for a network
     // partition.
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     silence_far_upstreams(vm);
-    cr_assert_eq(vm.router.take_questions().size(), 1);
-    vm.router.note_heard(vm.now, cut_domain);
+    cr_assert_eq(vm.router.take_domains_to_probe().size(), 1);
+    vm.router.record_domain_message(vm.now, cut_domain);
     vm.advance(vm.settings.ask_timeout);
     cr_expect(vm.take<report>().empty());
     vm.request(far, far, 200);
@@ -204,8 +206,8 @@
 {
     // Symptom: a delayed VM resets live flows. Sequence: all upstreams seem
     // silent at once. Cause: the VM itself was delayed.
-    bench vm(make_two_domains());
-    vm.router.note_heard(vm.now, cut_domain);
+    router_fixture vm(make_two_domains());
+    vm.router.record_domain_message(vm.now, cut_domain);
     establish_flows(vm);
     vm.advance(1s);
     for (std::uint64_t const instance : {near, far, far_too})
@@ -213,7 +215,7 @@
         vm.request(instance, instance, 200);
         vm.request(instance, instance, 200);
     }
-    cr_expect(vm.router.take_questions().empty());
+    cr_expect(vm.router.take_domains_to_probe().empty());
 }
 
 Test(unreachable, a_late_acknowledgement_is_not_an_answer)
@@ -222,13 +224,13 @@
     // reachable. Sequence: callers acknowledge the last answer with their next
     // request, seconds after the partition began. Cause: the acknowledgement
     // was taken for a new answer.
-    bench vm(make_two_domains());
-    vm.router.note_heard(vm.now, cut_domain);
+    router_fixture vm(make_two_domains());
+    vm.router.record_domain_message(vm.now, cut_domain);
     vm.request(9, far, 200);
     silence_far_upstreams(vm);
     vm.advance(vm.settings.ask_timeout);
     vm.take<report>();
-    vm.next_request_acknowledges(9, far, 300, 900);
+    vm.request_with_acknowledgement(9, far, 300, 900);
     cr_expect(vm.take<report>().empty());
     cr_expect_eq(count_flows_ended_by_check(vm, far), 2);
 }
@@ -239,7 +241,7 @@
     // that must not run twice are lost. Sequence: the upstream crashes; callers
     // use their idle flows one after the other. Cause: callers were not
     // notified of the crash.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     for (std::uint64_t flow = 1; flow <= 3; ++flow)
         vm.request(flow, 1, 100);
     vm.advance(vm.settings.check_after);
@@ -268,7 +270,7 @@
          {connection_outcome::connected, connection_outcome::refused,
           connection_outcome::inconclusive})
     {
-        bench vm({make_upstream(1), make_upstream(2)});
+        router_fixture vm({make_upstream(1), make_upstream(2)});
         vm.request(1, 1, 100);
         vm.advance(vm.settings.check_after);
         vm.request(1, 1, 100);
@@ -284,7 +286,7 @@
     // Symptom: flows of a reachable upstream are reset. Sequence: on a link
     // with packet loss a check gets no answer, while a caller does. Cause: the
     // check outweighed the caller's packets.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.request(1, 1, 100);
     vm.request(2, 1, 100);
     vm.advance(vm.settings.check_after);
@@ -299,7 +301,7 @@
 {
 
 /// Makes a check find upstream 1, which has the only flow, unreachable.
-void make_unreachable(bench& vm)
+void make_unreachable(router_fixture& vm)
 {
     vm.request(1, 1, 100);
     vm.advance(vm.settings.check_after);
@@ -319,7 +321,7 @@
     // through this VM, until 16 s later a packet arrives of a flow that was
     // opened through another VM. Cause: only an answer ended the unreachable
     // state, and no new check was made.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     make_unreachable(vm);
     vm.wait(vm.settings.check_period);
     cr_assert_eq(
@@ -339,7 +341,7 @@
     // answered by a reset, while its upstream serves. Sequence: a check that
     // ended a moment ago found the upstream unreachable. Cause: an old result
     // was applied to a flow that showed no sign of a failure.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     make_unreachable(vm);
     vm.request(8, 1, 100);
     cr_expect(vm.take<reset_known_flow>().empty());
@@ -356,7 +358,7 @@
     // Sequence: a VM's link is full of documents that it sends to its peers,
     // and its checks are queued behind them. Cause: the VM took its own delay
     // for the upstreams', as it checked only the suspect and no reference.
-    bench vm(
+    router_fixture vm(
         {make_upstream(1), make_upstream(2), make_upstream(3),
          make_upstream(4, "main", "lanark")});
     for (std::uint64_t const instance : {2, 3, 4})
@@ -384,15 +386,16 @@
     // a whole failure domain is found unreachable; the partition heals; no flow
     // goes there through this VM, until one arrives that was opened through
     // another VM. Cause: the domain's VMs were probed only once.
-    bench vm(make_two_domains());
+    router_fixture vm(make_two_domains());
     silence_far_upstreams(vm);
-    cr_assert_eq(vm.router.take_questions().size(), 1);
+    cr_assert_eq(vm.router.take_domains_to_probe().size(), 1);
     vm.advance(vm.settings.ask_timeout);
     cr_assert_eq(vm.take<report>().size(), 1);
     vm.wait(2s);
     cr_expect_eq(
-        vm.router.take_questions().size(), 1, "the domain is not probed again");
-    vm.router.note_heard(vm.now, cut_domain);
+        vm.router.take_domains_to_probe().size(), 1,
+        "the domain is not probed again");
+    vm.router.record_domain_message(vm.now, cut_domain);
     vm.router.advance(vm.now, vm.others());
     auto const reports = vm.take<report>();
     cr_assert_eq(reports.size(), 1);
@@ -404,7 +407,7 @@
     // Symptom: upstreams are suspected without any failure. Sequence: a request
     // has two packets, and the second arrives first. Cause: a lower sequence
     // number was taken for a retransmission.
-    bench vm({make_upstream(1), make_upstream(2)});
+    router_fixture vm({make_upstream(1), make_upstream(2)});
     vm.request(1, 1, 1300);
     vm.take<flow_decision>();
     vm.advance(1ms);
--- a/tests/tagging/test_upstream_reach.cpp
+++ b/tests/tagging/test_upstream_reach.cpp
@@ -17,8 +17,8 @@
 upstream_reach make_checking()
 {
     upstream_reach reach;
-    reach.note_answered(start - 1s);
-    reach.note_silent(start);
+    reach.record_answered(start - 1s);
+    reach.record_silence(start);
     reach.start_check(start, settings);
     return reach;
 }
@@ -38,13 +38,13 @@
         end_check(reach, connection_outcome::unanswered) ==
         reach_change::found_unreachable);
     cr_expect(reach.is_unreachable(start + 200ms));
-    cr_expect(reach.is_doubted());
+    cr_expect(reach.is_silent());
 }
 
 Test(upstream_reach, an_answer_invalidates_a_running_check)
 {
     upstream_reach reach = make_checking();
-    reach.note_answered(start + 50ms);
+    reach.record_answered(start + 50ms);
     cr_expect(
         end_check(reach, connection_outcome::unanswered) == reach_change::none);
     cr_expect_not(reach.is_unreachable(start + 200ms));
@@ -56,8 +56,8 @@
     // check runs, and a caller retransmits before the check ends. Cause: the
     // check was counted for the new silence, although it began before that.
     upstream_reach reach = make_checking();
-    reach.note_answered(start + 50ms);
-    reach.note_silent(start + 60ms);
+    reach.record_answered(start + 50ms);
+    reach.record_silence(start + 60ms);
     cr_expect(
         end_check(reach, connection_outcome::unanswered) == reach_change::none);
 }
@@ -76,7 +76,7 @@
     cr_expect(
         end_check(reach, connection_outcome::inconclusive) ==
         reach_change::none);
-    cr_expect(reach.is_doubted());
+    cr_expect(reach.is_silent());
     cr_expect_not(reach.is_check_due(start + 200ms, settings));
     cr_expect(
         reach.is_check_due(start + 100ms + settings.check_after, settings));
@@ -92,8 +92,8 @@
 Test(upstream_reach, an_earlier_answer_does_not_end_the_silence)
 {
     upstream_reach reach = make_checking();
-    reach.note_answered(start - 10ms);
-    cr_expect(reach.is_doubted());
+    reach.record_answered(start - 10ms);
+    cr_expect(reach.is_silent());
 }
 
 Test(
@@ -115,14 +115,14 @@
             switch (random() % 5)
             {
             case 0:
-                reach.note_answered(now);
+                reach.record_answered(now);
                 last_answer = now;
                 break;
             case 1:
-                reach.note_silent(now);
+                reach.record_silence(now);
                 break;
             case 2:
-                reach.hasten_check(now);
+                reach.check_now(now);
                 break;
             case 3:
                 if (started_at || !reach.is_check_due(now, settings))
--- a/tests/versions/fleet.cpp
+++ b/tests/versions/fleet.cpp
@@ -88,7 +88,7 @@
     this->nodes[vm].is_cut = true;
 }
 
-bool fleet::all_living_have(std::string const& name, std::uint64_t version)
+bool fleet::all_connected_have(std::string const& name, std::uint64_t version)
 {
     return std::ranges::all_of(
         this->nodes,
@@ -100,7 +100,7 @@
         });
 }
 
-void fleet::mend(std::size_t vm)
+void fleet::reconnect(std::size_t vm)
 {
     this->nodes[vm].is_cut = false;
     this->set_all_peers();
@@ -236,12 +236,12 @@
         return this->fetch_from_platform(from, request);
     auto const source = this->find(*request.source);
     ++this->traffic.peer_fetches;
-    this->traffic.longest_serving = std::max(
-        this->traffic.longest_serving, ++this->traffic.served_by[source]);
+    this->traffic.most_fetches_served = std::max(
+        this->traffic.most_fetches_served, ++this->traffic.served_by[source]);
     auto const held =
         this->nodes[source].store.find_document(request.name, request.held);
     auto const can_serve = held && this->is_connected(from, source) &&
-                           !this->mute.contains(source);
+                           !this->unresponsive_peers.contains(source);
     if (!can_serve)
         return this->post(
             from, document_fetch_failed{request.source, request.name});
@@ -273,7 +273,8 @@
 {
     bool const is_up = this->platform.state != platform_state::down &&
                        this->platform.state != platform_state::silent;
-    return is_up && !this->nodes[vm].is_cut && !this->turned_away.contains(vm);
+    return is_up && !this->nodes[vm].is_cut &&
+           !this->rejected_by_platform.contains(vm);
 }
 
 void fleet::answer_calls()
--- a/tests/versions/fleet.hpp
+++ b/tests/versions/fleet.hpp
@@ -64,7 +64,7 @@
 
     /// Disconnects a VM from all other VMs and the platform, or reconnects it.
     void cut(std::size_t vm);
-    void mend(std::size_t vm);
+    void reconnect(std::size_t vm);
 
     /// Stops a VM; its peers still consider it reachable.
     void kill_unnoticed(std::size_t vm);
@@ -80,7 +80,7 @@
 
     /// The same for the VMs that are not cut off.
     [[nodiscard]] bool
-    all_living_have(std::string const& name, std::uint64_t version);
+    all_connected_have(std::string const& name, std::uint64_t version);
 
     /// Counts of the messages between VMs.
     struct traffic_counts
@@ -90,7 +90,7 @@
         std::size_t peer_fetches = 0;
         std::map<std::size_t, std::size_t> served_by;
         /// Number of fetches that the busiest VM answered.
-        std::size_t longest_serving = 0;
+        std::size_t most_fetches_served = 0;
     };
 
     fake_platform platform;
@@ -98,9 +98,9 @@
     /// Percentage of relayed changes that are lost.
     unsigned lost_changes_percent = 0;
     /// Peers that serve no documents.
-    std::set<std::size_t> mute;
+    std::set<std::size_t> unresponsive_peers;
     /// VMs whose calls the platform rejects while it serves the others.
-    std::set<std::size_t> turned_away;
+    std::set<std::size_t> rejected_by_platform;
     time_point now{};
 
 private:
--- a/tests/versions/test_joining.cpp
+++ b/tests/versions/test_joining.cpp
@@ -1,4 +1,4 @@
-#include <versions/joiner_line.hpp>
+#include <versions/join_queue.hpp>
 #include <versions/joining.hpp>
 
 #include <criterion/criterion.h>
@@ -24,7 +24,7 @@
     return settings;
 }
 
-joiner_line make_queue()
+join_queue make_queue()
 {
     return {make_settings(), self, 7};
 }
@@ -37,7 +37,7 @@
 
 } // namespace
 
-Test(joiner_line, refers_to_members_of_the_joiners_domain)
+Test(join_queue, refers_to_members_of_the_joiners_domain)
 {
     auto queue = make_queue();
     std::vector<document_peer> const peers{
@@ -59,7 +59,7 @@
     cr_expect(queue.take_due(start).empty(), "no joiner was queued here");
 }
 
-Test(joiner_line, serves_referred_joiners_a_few_at_a_time)
+Test(join_queue, serves_referred_joiners_a_few_at_a_time)
 {
     auto queue = make_queue();
     std::size_t referred = 0;
@@ -80,7 +80,7 @@
     cr_expect(queue.take_due(start + 200ms).empty());
 }
 
-Test(joiner_line, a_joiner_that_asks_again_is_served)
+Test(join_queue, a_joiner_that_asks_again_is_served)
 {
     // Symptom: a joiner is referred from VM to VM for seconds. Sequence: most
     // VMs of its failure domain have just lost power, and no VM has detected
@@ -94,7 +94,7 @@
     cr_expect(queue.take_due(start) == std::vector{vm_id(100)});
 }
 
-Test(joiner_line, the_first_of_an_unknown_domain_reads_the_platform)
+Test(join_queue, the_first_of_an_unknown_domain_reads_the_platform)
 {
     auto queue = make_queue();
     auto const first = queue.ask(
@@ -112,7 +112,7 @@
 // Symptom: when all VMs start at once, the few VMs that all of them ask serve
 // every joiner. Sequence: three hundred, or two thousand, joiners of one
 // failure domain ask one VM. Cause: a VM serves each joiner that asks it.
-Test(joiner_line, a_start_of_all_vms_forms_a_tree)
+Test(join_queue, a_start_of_all_vms_forms_a_tree)
 {
     for (std::uint32_t const joiners : {50U, 300U, 2'200U})
     {
@@ -148,7 +148,7 @@
     }
 }
 
-Test(joiner_line, a_flood_of_requests_is_bounded)
+Test(join_queue, a_flood_of_requests_is_bounded)
 {
     auto queue = make_queue();
     for (std::uint32_t joiner = 0; joiner < 20'000; ++joiner)
@@ -165,12 +165,12 @@
 // platform. Sequence: the seeds are the last to start; a few others have read
 // it meanwhile, and no VM knows that. Cause: joiners are referred only to the
 // joiners that asked first.
-Test(joiner_line, joiners_are_referred_to_vms_that_have_read)
+Test(join_queue, joiners_are_referred_to_vms_that_have_read)
 {
     auto queue = make_queue();
-    queue.note_holder(start, vm_id(50), remote_domain);
-    queue.note_holder(start, vm_id(51), remote_domain);
-    queue.note_holder(start, vm_id(60), own_domain);
+    queue.record_holder(start, vm_id(50), remote_domain);
+    queue.record_holder(start, vm_id(51), remote_domain);
+    queue.record_holder(start, vm_id(60), own_domain);
     std::map<vm_id, int> named;
     for (std::uint32_t joiner = 100; joiner < 110; ++joiner)
     {
@@ -224,7 +224,7 @@
         version_random random(seed);
         joining unstarted(self);
         cr_expect_not(
-            unstarted.reads_on(start), "it reads without having begun");
+            unstarted.keeps_reading(start), "it reads without having begun");
         joining silent(self);
         silent.begin(start, false, random);
         cr_expect(
@@ -268,7 +268,7 @@
         each.begin(start, false, random);
         bool const is_early =
             each.choose_access(start) == platform_access::reading;
-        each.found_long();
+        each.record_several_pages();
         auto const later_access = each.choose_access(start + 700ms);
         cr_expect(
             later_access ==
@@ -289,16 +289,16 @@
     vm.begin(start, false, random);
     cr_expect(vm.choose_access(start) == platform_access::none);
     cr_expect(vm.next_due(start) == start + 20ms);
-    cr_expect(vm.choose_access(start + 20ms) == platform_access::glancing);
+    cr_expect(vm.choose_access(start + 20ms) == platform_access::first_page);
     (void)vm.follow(start + 25ms, {{vm_id(5)}, false}, random);
     cr_expect(
-        vm.choose_access(start + 30ms) == platform_access::glancing,
+        vm.choose_access(start + 30ms) == platform_access::first_page,
         "a read that was started is completed");
-    cr_expect_not(vm.reads_on(start + 30ms), "others read for it");
+    cr_expect_not(vm.keeps_reading(start + 30ms), "others read for it");
     joining seed_vm(self);
     seed_vm.begin(start, true, random);
     cr_expect(seed_vm.choose_access(start) == platform_access::reading);
-    cr_expect(seed_vm.reads_on(start));
+    cr_expect(seed_vm.keeps_reading(start));
 
     joining answered(self);
     answered.begin(start, false, random);
--- a/tests/versions/test_pieces.cpp
+++ b/tests/versions/test_pieces.cpp
@@ -3,7 +3,7 @@
 #include <versions/listing_parts.hpp>
 #include <versions/peer_selection.hpp>
 #include <versions/platform_watch.hpp>
-#include <versions/reader_succession.hpp>
+#include <versions/reader_election.hpp>
 
 #include <criterion/criterion.h>
 #include <set>
@@ -87,7 +87,7 @@
     {
         version_settings settings;
         settings.readers_per_domain = 2;
-        reader_succession election(settings, {vm.id, vm.domain});
+        reader_election election(settings, {vm.id, vm.domain});
         election.set_peers(time_point(), vms);
         if (election.is_elected())
             ++readers[vm.domain.value()];
--- a/tests/versions/test_reader_succession.cpp
+++ b/tests/versions/test_reader_election.cpp
@@ -1,4 +1,4 @@
-#include <versions/reader_succession.hpp>
+#include <versions/reader_election.hpp>
 
 #include <versions/peer_selection.hpp>
 
@@ -31,13 +31,13 @@
     return vms;
 }
 
-reader_succession
+reader_election
 make_election(std::vector<vm_id> const& vms, std::size_t rank, time_point now)
 {
     version_settings settings;
     settings.readers_per_domain = 2;
     settings.reader_patience = patience;
-    reader_succession election(settings, {vms[rank], domain});
+    reader_election election(settings, {vms[rank], domain});
     std::vector<document_peer> peers;
     for (vm_id const vm : vms)
     {
@@ -50,7 +50,7 @@
 
 } // namespace
 
-Test(reader_succession, candidates_start_to_read_one_after_the_other)
+Test(reader_election, candidates_start_to_read_one_after_the_other)
 {
     auto const vms = make_ranked_vms(40);
     time_point const start{1h};
@@ -58,7 +58,7 @@
     for (std::size_t rank = 2; rank < 18; ++rank)
     {
         auto vm = make_election(vms, rank, start);
-        vm.heard(start, vms[0]);
+        vm.receive_heartbeat(start, vms[0]);
         duration starts_after{};
         while (!vm.is_reading(start + starts_after))
             starts_after += 10ms;
@@ -75,7 +75,7 @@
 // reads of the platform as there are VMs. Sequence: a VM starts and knows no
 // other VM of its failure domain, or gets the highest rank there. Cause: it
 // considers itself elected at once, while another VM reads.
-Test(reader_succession, the_first_vm_waits_for_a_heartbeat_of_the_reader)
+Test(reader_election, the_first_vm_waits_for_a_heartbeat_of_the_reader)
 {
     auto const vms = make_ranked_vms(10);
     time_point const start{1h};
@@ -86,22 +86,22 @@
     cr_expect(silent.is_reading(start + patience * 2), "no VM reads");
 
     auto informed = make_election(vms, 0, start);
-    informed.heard(start + 300ms, vms[6]);
+    informed.receive_heartbeat(start + 300ms, vms[6]);
     cr_expect(
         informed.is_reading(start + 300ms), "it takes over from the reader");
-    informed.heard(start + 400ms, vms[6]);
+    informed.receive_heartbeat(start + 400ms, vms[6]);
     cr_expect(informed.is_reading(start + 400ms));
 }
 
 // Symptom: changes reach a failure domain late or never. Sequence: one VM of it
 // is left, and VMs of other domains join and leave. Cause: each change of
 // members postpones the time at which it reads.
-Test(reader_succession, the_only_vm_of_its_domain_reads_soon)
+Test(reader_election, the_only_vm_of_its_domain_reads_soon)
 {
     time_point const start{1h};
     version_settings settings;
     settings.reader_patience = patience;
-    reader_succession alone(settings, {vm_id(1), domain});
+    reader_election alone(settings, {vm_id(1), domain});
     for (duration passed{}; passed < patience * 2; passed += 100ms)
     {
         alone.set_peers(start + passed, {});
@@ -113,7 +113,7 @@
 // Symptom: no VM sees the changes of one second. Sequence: a VM joins that is
 // elected as reader. Cause: the current reader stops before the new one has
 // started.
-Test(reader_succession, a_reader_continues_until_the_next_reader_sends)
+Test(reader_election, a_reader_continues_until_the_next_reader_sends)
 {
     auto const vms = make_ranked_vms(10);
     std::vector<vm_id> const earlier_vms(vms.begin() + 2, vms.end());
@@ -132,14 +132,14 @@
     cr_expect(reader.is_reading(start + 3s));
     auto const listeners = reader.answered(start + 3s);
     cr_expect(std::ranges::find(listeners, vms[0]) != listeners.end());
-    reader.heard(start + 4s, vms[0]);
+    reader.receive_heartbeat(start + 4s, vms[0]);
     cr_expect_not(reader.is_reading(start + 4s));
 }
 
 // Symptom: a failure domain whose first VM has joined and has documents lacks a
 // reader for a second. Cause: a VM that read to join stops as soon as it has
 // joined.
-Test(reader_succession, a_vm_that_read_to_join_continues_to_read)
+Test(reader_election, a_vm_that_read_to_join_continues_to_read)
 {
     auto const vms = make_ranked_vms(10);
     time_point const start{1h};
@@ -147,13 +147,13 @@
     vm.begin();
     cr_expect(vm.is_reading(start));
     cr_expect_not(vm.answered(start).empty());
-    vm.heard(start + 1s, vms[8]);
+    vm.receive_heartbeat(start + 1s, vms[8]);
     cr_expect(vm.is_reading(start + 1s));
-    vm.heard(start + 1s, vms[0]);
+    vm.receive_heartbeat(start + 1s, vms[0]);
     cr_expect_not(vm.is_reading(start + 1s));
 }
 
-Test(reader_succession, every_candidate_receives_heartbeats_of_every_reader)
+Test(reader_election, every_candidate_receives_heartbeats_of_every_reader)
 {
     // Symptom: one VM more than elected reads for ever. Sequence: a fleet runs
     // without a fault. Cause: readers send heartbeats to fewer VMs than may
@@ -173,7 +173,7 @@
     }
 }
 
-Test(reader_succession, a_substitute_stops_when_a_higher_rank_reads)
+Test(reader_election, a_substitute_stops_when_a_higher_rank_reads)
 {
     auto const vms = make_ranked_vms(10);
     time_point const start{1h};
@@ -183,25 +183,25 @@
     cr_assert_not(vm.answered(now).empty());
     // A VM with a lower rank started to read at the same time, and will receive
     // a heartbeat of this one.
-    vm.heard(now, vms[7]);
+    vm.receive_heartbeat(now, vms[7]);
     cr_expect(vm.is_reading(now));
-    vm.heard(now, vms[3]);
+    vm.receive_heartbeat(now, vms[3]);
     cr_expect_not(vm.is_reading(now));
     cr_expect(vm.is_reading(now + patience + 1s));
 }
 
 // Guards against an elected VM that continues to call a platform that refuses
 // it, while the platform serves another VM.
-Test(reader_succession, a_vm_that_the_platform_refuses_lets_others_read)
+Test(reader_election, a_vm_that_the_platform_refuses_lets_others_read)
 {
     auto const vms = make_ranked_vms(10);
     time_point const start{1h};
     time_point const now = start + 10s;
     auto first = make_election(vms, 0, start);
     first.failed(now);
-    first.heard(now + 1s, vms[3]);
+    first.receive_heartbeat(now + 1s, vms[3]);
     cr_expect_not(first.is_reading(now + 1s));
-    first.heard(now + 5s, vms[3]);
+    first.receive_heartbeat(now + 5s, vms[3]);
     cr_expect(first.is_reading(now + 5s), "it retries");
 }
 
@@ -212,13 +212,13 @@
 {
     auto const vms = make_ranked_vms(count);
     time_point const start{1h};
-    std::vector<reader_succession> all;
+    std::vector<reader_election> all;
     std::vector<time_point> ends(count, time_point::max());
     for (std::size_t rank = 0; rank < vms.size(); ++rank)
     {
         all.push_back(make_election(vms, rank, start));
         if (rank > 0)
-            all.back().heard(start, vms[0]);
+            all.back().receive_heartbeat(start, vms[0]);
     }
     all[0].begin();
     (void)all[0].answered(start);
@@ -239,7 +239,7 @@
             {
                 auto const place =
                     std::ranges::find(vms, recipient) - vms.begin();
-                all[static_cast<std::size_t>(place)].heard_attempt(
+                all[static_cast<std::size_t>(place)].receive_attempt(
                     start + at, vms[rank]);
             }
             called_at.push_back(at);
@@ -252,7 +252,7 @@
 // Guards against VMs that synchronise while the platform answers no VM: all
 // calls fail at once, all VMs pause, and none calls when the platform has
 // recovered.
-Test(reader_succession, a_recovered_platform_is_called_soon)
+Test(reader_election, a_recovered_platform_is_called_soon)
 {
     for (std::uint32_t const count : {1U, 2U, 3U, 6U, 21U, 84U, 400U})
     {
@@ -278,12 +278,12 @@
 
 // Guards against a VM that is answered in its turn and considered to be only
 // catching up: it would send no heartbeat.
-Test(reader_succession, an_answer_after_a_turn_makes_the_vm_a_reader)
+Test(reader_election, an_answer_after_a_turn_makes_the_vm_a_reader)
 {
     auto const vms = make_ranked_vms(10);
     time_point const start{1h};
     auto vm = make_election(vms, 4, start);
-    vm.heard(start, vms[0]);
+    vm.receive_heartbeat(start, vms[0]);
     duration at{};
     while (!vm.take_turn(start + at))
         at += 10ms;
@@ -292,11 +292,11 @@
     cr_expect(vm.is_reading(start + at + 1s));
 }
 
-Test(reader_succession, no_vm_takes_over_without_a_patience)
+Test(reader_election, no_vm_takes_over_without_a_patience)
 {
     auto const vms = make_ranked_vms(10);
     version_settings settings;
-    reader_succession vm(settings, {vms[5], domain});
+    reader_election vm(settings, {vms[5], domain});
     std::vector<document_peer> const peers{{vms[0], domain}, {vms[1], domain}};
     vm.set_peers(time_point(), peers);
     cr_expect_not(vm.is_reading(time_point() + 1h));
--- a/tests/versions/test_registry_documents.cpp
+++ b/tests/versions/test_registry_documents.cpp
@@ -275,7 +275,7 @@
     vms.traffic = {};
     vms.run(3);
     cr_expect(vms.all_have(upstreams, 2));
-    cr_expect_leq(vms.traffic.longest_serving, 8);
+    cr_expect_leq(vms.traffic.most_fetches_served, 8);
 }
 
 Test(registry_documents, lost_changes_are_recovered)
--- a/tests/versions/test_spread.cpp
+++ b/tests/versions/test_spread.cpp
@@ -98,7 +98,7 @@
     vms.run(10 * second);
     cr_expect_eq(vms.at(2).find_document(association)->version.value(), 1);
     cr_expect_eq(vms.at(2).current()->services().size(), 3);
-    vms.mend(2);
+    vms.reconnect(2);
     vms.run(5 * second);
     cr_expect(vms.all_have(association, 2));
 }
@@ -115,7 +115,7 @@
     vms.cut(reader);
     vms.platform.publish(association, association_text);
     vms.run(2 * second);
-    vms.mend(reader);
+    vms.reconnect(reader);
     vms.run(5 * second);
     cr_expect(vms.all_have(association, 2));
 }
@@ -168,7 +168,7 @@
     {
         fleet vms(5, 1);
         vms.run(3 * second);
-        vms.mute.insert(mute);
+        vms.unresponsive_peers.insert(mute);
         vms.platform.publish(association, association_text);
         vms.run(2 * second);
         auto const is_sole_reader = vms.at(mute).is_reader();
@@ -219,9 +219,9 @@
         bool const is_first_reader =
             vms.at(vm).is_reader() && domains.insert(vm % 2).second;
         if (is_first_reader)
-            vms.turned_away.insert(vm);
+            vms.rejected_by_platform.insert(vm);
     }
-    cr_assert_eq(vms.turned_away.size(), 2);
+    cr_assert_eq(vms.rejected_by_platform.size(), 2);
     vms.platform.publish(association, association_text);
     vms.run(1 * second);
     cr_expect(vms.all_have(association, 2));
@@ -240,10 +240,11 @@
     for (std::size_t vm = 0; vm < vms.size(); ++vm)
     {
         if (vms.at(vm).is_reader())
-            vms.turned_away.insert(vm);
+            vms.rejected_by_platform.insert(vm);
     }
-    for (std::size_t vm = 0; vms.turned_away.size() < refused_vms; ++vm)
-        vms.turned_away.insert(vm);
+    for (std::size_t vm = 0; vms.rejected_by_platform.size() < refused_vms;
+         ++vm)
+        vms.rejected_by_platform.insert(vm);
     for (std::uint64_t version = 2; version <= 5; ++version)
     {
         vms.platform.publish(association, association_text);
@@ -252,7 +253,7 @@
     }
     // Once the platform serves all VMs again, and their longest back-off is
     // over, the elected readers suffice.
-    vms.turned_away.clear();
+    vms.rejected_by_platform.clear();
     vms.run(40 * second);
     cr_expect_eq(count_readers(vms), 4);
 }
@@ -271,7 +272,7 @@
     }
     vms.platform.publish(association, association_text);
     vms.run(3 * second);
-    cr_expect(vms.all_living_have(association, 2));
+    cr_expect(vms.all_connected_have(association, 2));
 }
 
 Test(spread, a_platform_that_is_down_is_not_called_by_all_at_once)
